--- a/badgercart/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""badgercart: a load-balancing HTTP proxy on real sockets, round the decisions of cottonhall."""
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import importlib
 import json
 import statistics
 import subprocess
@@ -15,6 +16,7 @@
 import time
 import tracemalloc
 from pathlib import Path
+from typing import Any
 
 SIZES = (200, 800, 3200)
 TURNS = 5
@@ -24,29 +26,32 @@
 
 def measure(size: int) -> tuple[float, float, float]:
     """us a change, us a request, KiB."""
-    from cottonhall.interface import (
-        Effect,
-        ListKind,
-        Outcome,
-        Request,
-        RequestClass,
-        Result,
-        Send,
-        ServerEntry,
-        ServerList,
-        Settings,
-        State,
-    )
-    from cottonhall.rules import Policy
+    package = "flaxstep.routing" if Path("flaxstep/routing").is_dir() else "cottonhall"  # of the tree's age
+    interface = importlib.import_module(f"{package}.interface")
+    Policy = importlib.import_module(package).Policy
+    Effect = interface.Effect
+    ListKind = interface.ListKind
+    Outcome = interface.Outcome
+    Request = interface.Request
+    RequestClass = interface.RequestClass
+    Result = interface.Result
+    Send = interface.Send
+    ServerEntry = interface.ServerEntry
+    ServerList = interface.ServerList
+    Settings = interface.Settings
+    State = interface.State
 
-    def entry(number: int, state: State) -> ServerEntry:
+    def entry(number: int, state: Any) -> Any:
         return ServerEntry(number, number % 3, number % 2, 0, state, 1.0, 0.0)
 
     cls = RequestClass(aim=200.0, deadline=1000.0, worth=1.0, effect=Effect.SAFE)
     settings = Settings(classes=(cls,), warm_keys=True, max_attempts=2, may_cancel=True)
     tracemalloc.start()
     policy = Policy(settings, 1)
-    policy.handle(0.0, ServerList(ListKind.FULL, 1, [entry(i, State.READY) for i in range(1, size + 1)]))
+    policy.handle(
+        0.0,
+        ServerList(ListKind.FULL, 1, [entry(i, State.READY) for i in range(1, size + 1)]),
+    )
     memory = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
     now = 1.0
--- a/benchmarks/node_pairs.py
+++ b/benchmarks/node_pairs.py
@@ -113,7 +113,7 @@
             sys.executable,
             "-B",
             "-m",
-            "badgercart",
+            "flaxstep.proxy" if (tree / "flaxstep" / "proxy").is_dir() else "badgercart",
             cwd=tree,
             env=os.environ | {"ROUTER_CONFIG": file.name},
             stderr=asyncio.subprocess.PIPE,
--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -19,15 +19,15 @@
 import msgspec
 import numpy as np
 
-from flaxstep.lab.engine import Streams
-from flaxstep.lab.events import begin
-from flaxstep.lab.play import HERE, player
-from flaxstep.lab.release import LabRelease
-from flaxstep.lab.rigging import Figures
-from flaxstep.lab.scenario import Scenario, read_scenario
-from flaxstep.lab.world import World
-from releases.plan import Commands, Plan, Room, Watch, Waves
-from releases.release import ENDED, State
+from flaxstep.rollout.plan import Commands, Plan, Room, Watch, Waves
+from flaxstep.rollout.release import ENDED, State
+from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.fault_config import Figures
+from flaxstep.simulator.runner import HERE, player
+from flaxstep.simulator.scenario import Scenario, read_scenario
+from flaxstep.simulator.scheduled_events import begin
+from flaxstep.simulator.simulation import World
+from flaxstep.simulator.staged_rollout import LabRelease
 
 SCENARIO = Path(__file__).resolve().parents[1] / "scenarios" / "release.toml"
 VERSIONS = {
--- a/benchmarks/release_rig.py
+++ b/benchmarks/release_rig.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from flaxstep.lab.scenario import read_scenario
-from flaxstep.rig.result import Result, judge_play
-from flaxstep.rig.staff import Staff, run_controller
-from flaxstep.rig.stage import Stage, build
+from flaxstep.faultbench.farm import Stage, build
+from flaxstep.faultbench.operators import Staff, run_controller
+from flaxstep.faultbench.result import Result, judge_play
+from flaxstep.simulator.scenario import read_scenario
 
 LENGTH = 60  # s at most
 END_TIME = 90.0  # s for a controller to end
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -15,7 +15,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from releases.judge import Finding, Judge, Seen
+from flaxstep.rollout.canary_analysis import Finding, Judge, Seen
 
 FALSE_HALT, FAILURES, SLOWER = 0.01, 0.002, 1.1
 BAKE, MARK = 30, 0.75  # looks after each wave; the quantile of a member's answers that is its mark
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -20,11 +20,11 @@
 import msgspec
 import uvloop
 
-from flaxstep.lab.scenario import read_scenario
-from flaxstep.rig.child import ROOT, Child
-from flaxstep.rig.play import play
-from flaxstep.rig.result import judge_play
-from flaxstep.rig.stage import Stage, build, claim
+from flaxstep.faultbench.child_process import ROOT, Child
+from flaxstep.faultbench.farm import Stage, build, claim
+from flaxstep.faultbench.result import judge_play
+from flaxstep.faultbench.runner import play
+from flaxstep.simulator.scenario import read_scenario
 
 ROUNDS, PAIRS = 2000, 7
 RATES = (400, 800, 1600, 2400, 3200, 4000, 4800, 5600)
@@ -140,7 +140,7 @@
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         with suppress(OSError):
             words = path.read_bytes().replace(b"\0", b" ").decode(errors="replace")
-            if "flaxstep.rig." in words or "badgercart" in words:
+            if "flaxstep.faultbench." in words or "flaxstep.proxy" in words:
                 processes.add(f"{path.parent.name} {words}")
     lines = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     listening = {line[1] for line in lines if line[3] == "0A" and not line[1].startswith("0100007F")}
--- a/flaxstep/__init__.py
+++ b/flaxstep/__init__.py
@@ -1,1 +1,1 @@
-"""The product round the node: command line and lab. It may import the other rooms, never the reverse."""
+"""A load-balancing HTTP proxy (proxy, with its decisions in routing) and the tools round it."""
--- a/flaxstep/cli.py
+++ b/flaxstep/cli.py
@@ -12,12 +12,12 @@
 from rich.console import Console
 from rich.table import Table
 
+from flaxstep.cli_faultbench import demo_command, load_command, rig
 from flaxstep.cli_release import release
-from flaxstep.cli_rig import demo_command, load_command, rig
-from flaxstep.lab.play import NotPlayable, encode, play_with
-from flaxstep.lab.scenario import ScenarioError, read_scenario
-from flaxstep.lab.world import Run
-from flaxstep.refusal import Refusal
+from flaxstep.command_error import Refusal
+from flaxstep.simulator.runner import NotPlayable, encode, play_with
+from flaxstep.simulator.scenario import ScenarioError, read_scenario
+from flaxstep.simulator.simulation import Run
 
 CASES = ("in_time", "late", "unserved", "refused", "failed", "given_up")
 
--- a/flaxstep/cli_rig.py
+++ b/flaxstep/cli_faultbench.py
@@ -15,17 +15,24 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
-from flaxstep.lab.scenario import ScenarioError, read_scenario
-from flaxstep.refusal import Refusal
-from flaxstep.rig.child import ROOT
-from flaxstep.rig.load import Order, Summary, parse_class, parse_steps, parse_target, run_load
-from flaxstep.rig.play import play
-from flaxstep.rig.report import write_report
-from flaxstep.rig.result import Line, Result, judge_play, write_result
-from flaxstep.rig.soak.run import SoakOutcome, soak
-from flaxstep.rig.soak.timeline import report
-from flaxstep.rig.stage import build
-from flaxstep.rig.standin import RigError
+from flaxstep.command_error import Refusal
+from flaxstep.faultbench.child_process import ROOT
+from flaxstep.faultbench.fake_service import RigError
+from flaxstep.faultbench.farm import build
+from flaxstep.faultbench.load_generator import (
+    Order,
+    Summary,
+    parse_class,
+    parse_steps,
+    parse_target,
+    run_load,
+)
+from flaxstep.faultbench.report import write_report
+from flaxstep.faultbench.result import Line, Result, judge_play, write_result
+from flaxstep.faultbench.runner import play
+from flaxstep.faultbench.soak.runner import SoakOutcome, soak
+from flaxstep.faultbench.soak.timeline import report
+from flaxstep.simulator.scenario import ScenarioError, read_scenario
 
 CASES = ("in_time", "late", "refused", "failed", "unserved")
 NOT_RUN_PART = 0.1  # of a soak's plays that may not have been played properly
--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -16,15 +16,15 @@
 from rich.console import Console
 from rich.table import Table
 
-from flaxstep.refusal import Refusal
-from releases.acts import Phase
-from releases.farm import Farm, read_farm
-from releases.limits import unfit
-from releases.plan import Plan, PlanError, at_once, read_plan, waves
-from releases.release import State
-from releases.rim.controller import Controller, members_of, open_release
-from releases.rim.look import look
-from releases.rim.store import ClaimLost, Kept, Store, StoreError, clock
+from flaxstep.command_error import Refusal
+from flaxstep.rollout.actions import Phase
+from flaxstep.rollout.farm import Farm, read_farm
+from flaxstep.rollout.io.controller import Controller, members_of, open_release
+from flaxstep.rollout.io.snapshot_collector import look
+from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
+from flaxstep.rollout.limits import unfit
+from flaxstep.rollout.plan import Plan, PlanError, at_once, read_plan, waves
+from flaxstep.rollout.release import State
 
 STOPPED = 130
 ORDER_TIME = 5.0  # s to wait for a controller's answer to an order
--- a/flaxstep/rig/door.py
+++ b/flaxstep/faultbench/admin_client.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from flaxstep.rig.standin import Address, loopback
-from releases.rim.http import text
+from flaxstep.faultbench.fake_service import Address, loopback
+from flaxstep.rollout.io.http_client import text
 
 CALL_TIME = 1.0  # s that a caller waits
 
--- a/flaxstep/rig/child.py
+++ b/flaxstep/faultbench/child_process.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from flaxstep.rig.standin import RigError
-from releases.rim.children import end_with
+from flaxstep.faultbench.fake_service import RigError
+from flaxstep.rollout.io.child_processes import end_with
 
 ROOT = Path(__file__).resolve().parents[2]
 READY_TIME, CALL_TIME = 20.0, 10.0  # s
@@ -51,7 +51,7 @@
         """A stand-in of ours, once it says that it is ready."""
         path = folder / f"{name}.json"
         path.write_text(json.dumps(config))
-        command = [sys.executable, "-B", "-m", f"flaxstep.rig.{module}", str(path)]
+        command = [sys.executable, "-B", "-m", f"flaxstep.faultbench.{module}", str(path)]
         environment = dict(os.environ) | {"PYTHONPATH": str(ROOT)}
         child = await cls.start(name, command, folder / f"{name}.log", environment)
         try:
--- a/flaxstep/rig/clients.py
+++ b/flaxstep/faultbench/clients.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from flaxstep.lab.draw import Plan, draw_plan
-from flaxstep.lab.engine import Streams
-from flaxstep.lab.scenario import Scenario, read_scenario
-from flaxstep.rig.record import Answered, Asked, Recorder
-from flaxstep.rig.standin import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.records import Answered, Asked, Recorder
+from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.sampling import Plan, draw_plan
+from flaxstep.simulator.scenario import Scenario, read_scenario
 
 AFTER_DUE = 0.8  # s for which a connection is still read when its try's time is over
 IDLE = 1.5  # s after which a client's idle connection is not used again
--- a/flaxstep/rig/listing.py
+++ b/flaxstep/faultbench/discovery_service.py
@@ -16,10 +16,10 @@
 
 import httptools
 
-from flaxstep.lab.engine import Streams
-from flaxstep.rig.pipe import reset
-from flaxstep.rig.record import Happened, Recorder, Told
-from flaxstep.rig.standin import StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import StandIn, Tasks, loopback, run
+from flaxstep.faultbench.forwarder import reset
+from flaxstep.faultbench.records import Happened, Recorder, Told
+from flaxstep.simulator.engine import Streams
 
 PATH = "/catalog/members"
 BEAT = 2.0  # s between the empty lines of a watch
--- a/flaxstep/rig/standin.py
+++ b/flaxstep/faultbench/fake_service.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from flaxstep.rig.record import Recorder
+from flaxstep.faultbench.records import Recorder
 
 Address = tuple[str, int]
 
--- a/flaxstep/rig/stage.py
+++ b/flaxstep/faultbench/farm.py
@@ -24,11 +24,10 @@
 
 import msgspec
 
-from flaxstep.lab.draw import Plan, draw_plan
-from flaxstep.lab.scenario import Scenario
-from flaxstep.rig.child import ROOT, Child, shell_command
-from flaxstep.rig.door import call_door
-from flaxstep.rig.farm_config import (
+from flaxstep.faultbench.admin_client import call_door
+from flaxstep.faultbench.child_process import ROOT, Child, shell_command
+from flaxstep.faultbench.fake_service import Address, RigError, Tasks
+from flaxstep.faultbench.farm_config import (
     DOORS,
     DOORS_EACH,
     FRONTS,
@@ -41,8 +40,9 @@
     server_id,
     unix_ms,
 )
-from flaxstep.rig.record import Happened, Recorder
-from flaxstep.rig.standin import Address, RigError, Tasks
+from flaxstep.faultbench.records import Happened, Recorder
+from flaxstep.simulator.sampling import Plan, draw_plan
+from flaxstep.simulator.scenario import Scenario
 
 BEFORE = 1e6  # s: until the play begins, all times lie that far before it
 CLAIM_PORT = 1999  # held by a rig as long as the address is its own
@@ -97,8 +97,8 @@
         links = {"seed": self.seed, "links": self.ways.links, "down": [f"node:{n}" for n in nodes]}
         await asyncio.gather(
             self.stand_in("links", "links", links),
-            self.stand_in("discovery", "listing", list_config(self.scenario, self.plan, self.ways)),
-            self.stand_in("front", "front", front_config(self.scenario, self.plan, self.ways)),
+            self.stand_in("discovery", "discovery_service", list_config(self.scenario, self.plan, self.ways)),
+            self.stand_in("front", "frontend_balancer", front_config(self.scenario, self.plan, self.ways)),
             *(self.start_server(server, cold=False) for server in servers),
         )
         await asyncio.gather(*(self.start(f"node:{node}") for node in nodes))
@@ -131,7 +131,7 @@
         figures = self.scenario.rig.versions.get(version)
         config |= {"cold": cold, "version": version}
         config |= {"figures": None if figures is None else msgspec.to_builtins(figures)}
-        await self.stand_in(f"server:{server}", "jobserver", config)
+        await self.stand_in(f"server:{server}", "job_server", config)
 
     # Nodes.
 
--- a/flaxstep/rig/farm_config.py
+++ b/flaxstep/faultbench/farm_config.py
@@ -6,11 +6,11 @@
 import time
 from typing import Any
 
-from flaxstep.lab.draw import Plan
-from flaxstep.lab.rigging import Rigging
-from flaxstep.lab.scenario import Scenario
-from flaxstep.lab.table import Range
-from flaxstep.rig.standin import Address
+from flaxstep.faultbench.fake_service import Address
+from flaxstep.simulator.config_types import Range
+from flaxstep.simulator.fault_config import Rigging
+from flaxstep.simulator.sampling import Plan
+from flaxstep.simulator.scenario import Scenario
 
 EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 # Where the rig's processes listen, at the address that is this rig's alone.
--- a/flaxstep/rig/front.py
+++ b/flaxstep/faultbench/frontend_balancer.py
@@ -12,9 +12,9 @@
 from contextlib import suppress
 from typing import Any
 
-from flaxstep.rig.pipe import Pair, listener, waiting
-from flaxstep.rig.record import Believed, Dealt, Recorder
-from flaxstep.rig.standin import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.forwarder import Pair, listener, waiting
+from flaxstep.faultbench.records import Believed, Dealt, Recorder
 
 ASK_EVERY = 0.1  # s
 ASK_TIME = 1.0  # s for an answer
--- a/flaxstep/rig/jobserver.py
+++ b/flaxstep/faultbench/job_server.py
@@ -15,13 +15,13 @@
 
 import httptools
 
-from cottonhall.interface import Result
-from flaxstep.lab.draw import lognormal
-from flaxstep.lab.engine import Engine, Streams
-from flaxstep.lab.farm import TICK, Attempt, ChokePlan, Server, ServerPlan, Tally
-from flaxstep.rig.pipe import reset
-from flaxstep.rig.record import Began, Ended, Fell, Held, Recorder
-from flaxstep.rig.standin import Address, RealEngine, StandIn, loopback, run
+from flaxstep.faultbench.fake_service import Address, RealEngine, StandIn, loopback, run
+from flaxstep.faultbench.forwarder import reset
+from flaxstep.faultbench.records import Began, Ended, Fell, Held, Recorder
+from flaxstep.routing.interface import Result
+from flaxstep.simulator.engine import Engine, Streams
+from flaxstep.simulator.job_servers import TICK, Attempt, ChokePlan, Server, ServerPlan, Tally
+from flaxstep.simulator.sampling import lognormal
 
 SAMPLE = 0.25  # s
 NOISE = 1 << 10
--- a/flaxstep/rig/links.py
+++ b/flaxstep/faultbench/links.py
@@ -13,10 +13,10 @@
 from contextlib import suppress
 from typing import Any
 
-from flaxstep.lab.engine import Streams
-from flaxstep.rig.pipe import CLEAR, Effect, Pair, Side, listener, waiting
-from flaxstep.rig.record import Closed, Disturbed, Recorder, Turn
-from flaxstep.rig.standin import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.forwarder import CLEAR, Effect, Pair, Side, listener, waiting
+from flaxstep.faultbench.records import Closed, Disturbed, Recorder, Turn
+from flaxstep.simulator.engine import Streams
 
 BACKLOG = 1024
 FILLERS = 2  # connections that fill the queue of a listener that takes none
--- a/flaxstep/rig/load.py
+++ b/flaxstep/faultbench/load_generator.py
@@ -19,7 +19,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from flaxstep.rig.standin import Address, RigError, loopback
+from flaxstep.faultbench.fake_service import Address, RigError, loopback
 
 MOST_RATE, MOST_SECONDS, MOST_REQUESTS = 50_000.0, 3600.0, 5_000_000
 MOST_CONNECTIONS = 10_000
--- a/flaxstep/rig/staff.py
+++ b/flaxstep/faultbench/operators.py
@@ -1,4 +1,4 @@
-"""The platform's hands for releases on the rig: takes the calls of commands (`hand.py`) and does them.
+"""The platform's hands for releases on the rig: takes the calls of commands (`commands.py`) and does them.
 
 Beside it the farm file for a controller, whose calls go through links of their own like everybody's.
 """
@@ -15,11 +15,11 @@
 from datetime import datetime
 from pathlib import Path
 
-from flaxstep.rig.child import Child, shell_command
-from flaxstep.rig.record import Happened
-from flaxstep.rig.stage import Stage
-from flaxstep.rig.standin import RigError, loopback
-from releases.rim.http import text
+from flaxstep.faultbench.child_process import Child, shell_command
+from flaxstep.faultbench.fake_service import RigError, loopback
+from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.records import Happened
+from flaxstep.rollout.io.http_client import text
 
 PORT = 1998
 CALLS = re.compile(r"^(\S+ \S+) INFO (s-\d+) is (out|back)$", re.MULTILINE)
@@ -63,7 +63,12 @@
     @property
     def command(self) -> list[str]:
         """The words before a call."""
-        return [sys.executable, "-B", str(Path(__file__).with_name("hand.py")), f"{self.stage.host}:{PORT}"]
+        return [
+            sys.executable,
+            "-B",
+            str(Path(__file__).with_name("commands.py")),
+            f"{self.stage.host}:{PORT}",
+        ]
 
     def commands(self, what: str) -> str:
         """The lines of a plan's table of commands."""
--- a/flaxstep/rig/report.py
+++ b/flaxstep/faultbench/report.py
@@ -13,8 +13,8 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from flaxstep.rig.result import Line, Result
-from flaxstep.rig.rules import Breach
+from flaxstep.faultbench.result import Line, Result
+from flaxstep.faultbench.rule_checks import Breach
 
 WIDTH, BAND_HEIGHT, BELOW, ABOVE = 10.0, 0.24, 0.42, 0.24  # inches
 LEFT, RIGHT = 0.065, 0.94  # parts of the width
--- a/flaxstep/rig/result.py
+++ b/flaxstep/faultbench/result.py
@@ -8,14 +8,14 @@
 import msgspec
 import numpy as np
 
-from flaxstep.lab.draw import Plan, draw_plan
-from flaxstep.lab.judge import Judge, Verdict
-from flaxstep.lab.scenario import Scenario
-from flaxstep.lab.world import Outcomes
-from flaxstep.rig.record import read_records
-from flaxstep.rig.rules import Breach, breaches
-from flaxstep.rig.story import Story, TryStory, tell
-from flaxstep.rig.timetable import Timetable
+from flaxstep.faultbench.records import read_records
+from flaxstep.faultbench.rule_checks import Breach, breaches
+from flaxstep.faultbench.schedule import Timetable
+from flaxstep.faultbench.trace import Story, TryStory, tell
+from flaxstep.simulator.sampling import Plan, draw_plan
+from flaxstep.simulator.scenario import Scenario
+from flaxstep.simulator.scoring import Judge, Verdict
+from flaxstep.simulator.simulation import Outcomes
 
 TEN = 10  # s
 BUSY = 20.0  # ms by which clients are late, 99 of 100, where the machine was too busy for the play
--- a/flaxstep/rig/rules.py
+++ b/flaxstep/faultbench/rule_checks.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from flaxstep.lab.scenario import Class, Rules, Scenario
-from flaxstep.rig.clients import CROSSED
-from flaxstep.rig.farm_config import server_id
-from flaxstep.rig.story import FOREVER, Attempt, Story, TryStory
+from flaxstep.faultbench.clients import CROSSED
+from flaxstep.faultbench.farm_config import server_id
+from flaxstep.faultbench.trace import FOREVER, Attempt, Story, TryStory
+from flaxstep.simulator.scenario import Class, Rules, Scenario
 
 SLACK = 50.0  # ms by which each limit is longer on sockets
 LATE = 500.0  # ms after its time in which an answer earns nothing, and is not lost yet
--- a/flaxstep/rig/play.py
+++ b/flaxstep/faultbench/runner.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from flaxstep.lab.scenario import Scenario
-from flaxstep.rig.stage import Stage
-from flaxstep.rig.standin import RigError
-from flaxstep.rig.timetable import Step, Timetable
+from flaxstep.faultbench.fake_service import RigError
+from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.schedule import Step, Timetable
+from flaxstep.simulator.scenario import Scenario
 
 AFTER = 4.0  # s for which a play goes on at most after its last first try
 LOOK = 0.25  # s
--- a/flaxstep/rig/timetable.py
+++ b/flaxstep/faultbench/schedule.py
@@ -12,11 +12,11 @@
 import msgspec
 import numpy as np
 
-from flaxstep.lab.draw import Happening, Plan, draw
-from flaxstep.lab.engine import Streams
-from flaxstep.lab.events import LEAVE_MS, RESTART_AFTER
-from flaxstep.lab.rigging import LINK_FAULTS, Fault
-from flaxstep.lab.scenario import Scenario
+from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.fault_config import LINK_FAULTS, Fault
+from flaxstep.simulator.sampling import Happening, Plan, draw
+from flaxstep.simulator.scenario import Scenario
+from flaxstep.simulator.scheduled_events import LEAVE_MS, RESTART_AFTER
 
 DRAIN_TIME = 3000.0  # ms from `leaving` to the end of the process, where servers are replaced
 
--- a/flaxstep/rig/soak/run.py
+++ b/flaxstep/faultbench/soak/runner.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from flaxstep.rig.child import ROOT
-from flaxstep.rig.result import Result, read_result
-from flaxstep.rig.rules import Breach
-from flaxstep.rig.soak.draw import DrawnPlay, draw_play
+from flaxstep.faultbench.child_process import ROOT
+from flaxstep.faultbench.result import Result, read_result
+from flaxstep.faultbench.rule_checks import Breach
+from flaxstep.faultbench.soak.sampling import DrawnPlay, draw_play
 
 SPARE_S = 60.0  # s beyond a play's length after which it is ended
 KEPT, BROKEN = 0, 1  # exit codes of `rig play`
--- a/flaxstep/rig/soak/draw.py
+++ b/flaxstep/faultbench/soak/sampling.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from flaxstep.lab.engine import Streams
+from flaxstep.simulator.engine import Streams
 
 START_S = 2.0  # no fault begins before the traffic flows
 CALM_S = 3.0  # at the end of a play, so that what a fault has done can show
--- a/flaxstep/rig/soak/timeline.py
+++ b/flaxstep/faultbench/soak/timeline.py
@@ -7,8 +7,18 @@
 
 import msgspec
 
-from flaxstep.rig.record import Asked, Began, Disturbed, Ended, Fell, Happened, Record, Told, read_records
-from flaxstep.rig.rules import Breach
+from flaxstep.faultbench.records import (
+    Asked,
+    Began,
+    Disturbed,
+    Ended,
+    Fell,
+    Happened,
+    Record,
+    Told,
+    read_records,
+)
+from flaxstep.faultbench.rule_checks import Breach
 
 BEFORE, AFTER = 8000.0, 2000.0  # ms round the breach of which the farm's events are shown
 
--- a/flaxstep/rig/story.py
+++ b/flaxstep/faultbench/trace.py
@@ -13,10 +13,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from flaxstep.lab.draw import Plan
-from flaxstep.rig.farm_config import names
-from flaxstep.rig.links import Fault
-from flaxstep.rig.record import (
+from flaxstep.faultbench.farm_config import names
+from flaxstep.faultbench.links import Fault
+from flaxstep.faultbench.records import (
     Answered,
     Asked,
     Began,
@@ -31,6 +30,7 @@
     Told,
     Turn,
 )
+from flaxstep.simulator.sampling import Plan
 
 FOREVER = float("inf")
 
--- /dev/null
+++ b/flaxstep/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""A load-balancing HTTP proxy on real sockets, round the decisions of flaxstep.routing."""
--- a/badgercart/__main__.py
+++ b/flaxstep/proxy/__main__.py
@@ -11,12 +11,12 @@
 
 import uvloop
 
-from badgercart.config import Config, ConfigError, read_config, read_discovery
-from badgercart.node import Node
+from flaxstep.proxy.config import Config, ConfigError, read_config, read_discovery
+from flaxstep.proxy.node import Node
 
 READ_AGAIN = 0.1  # s between looks at a configuration that can't be read
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 
 class Reloader:
--- a/badgercart/admin.py
+++ b/flaxstep/proxy/admin.py
@@ -9,15 +9,15 @@
 
 import httptools
 
-from badgercart.config import Address
-from badgercart.framing import STATUS_LINES, hang_up
+from flaxstep.proxy.config import Address
+from flaxstep.proxy.connection_close import STATUS_LINES, hang_up
 
 MAX_CALLERS = 8  # connections at once
 CALL_TIME = 2.0  # s from its opening in which a caller must finish its call
 MAX_CALL = 4096  # bytes of request line and headers
 MAX_ID = 256  # bytes of a body: a job server's id
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 Reply = tuple[int, str]  # status and text
 Call = Callable[[bytes], Reply]  # takes the body
--- a/badgercart/clients.py
+++ b/flaxstep/proxy/client_connections.py
@@ -13,13 +13,13 @@
 
 import httptools
 
-from badgercart.bodies import LEAST, MAX_BODY, WHOLE, Room, Upload
-from badgercart.config import Config
-from badgercart.eventlog import event
-from badgercart.framing import STATUS_LINES, hang_up, reset
-from badgercart.servers import Message
-from badgercart.wallclock import now_ms
-from cottonhall.interface import Effect
+from flaxstep.proxy.config import Config
+from flaxstep.proxy.connection_close import STATUS_LINES, hang_up, reset
+from flaxstep.proxy.event_log import event
+from flaxstep.proxy.request_bodies import LEAST, MAX_BODY, WHOLE, Room, Upload
+from flaxstep.proxy.server_connections import Message
+from flaxstep.proxy.wall_clock import now_ms
+from flaxstep.routing.interface import Effect
 
 MAX_HEAD = 16384  # bytes of request line and headers
 MAX_WAITING = 16  # requests sent ahead on one connection, after which it is read no further
--- a/badgercart/config.py
+++ b/flaxstep/proxy/config.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from badgercart.eventlog import LEVELS
-from cottonhall.interface import Settings
-from cottonhall.wire import WireError, read_settings
+from flaxstep.proxy.event_log import LEVELS
+from flaxstep.routing.interface import Settings
+from flaxstep.routing.simulator_wire import WireError, read_settings
 
 Address = tuple[str, int]
 
--- a/badgercart/discovery.py
+++ b/flaxstep/proxy/discovery.py
@@ -12,9 +12,9 @@
 
 import httptools
 
-from badgercart.config import Address
-from badgercart.wallclock import now_ms
-from cottonhall.interface import Reach
+from flaxstep.proxy.config import Address
+from flaxstep.proxy.wall_clock import now_ms
+from flaxstep.routing.interface import Reach
 
 PATH = "/catalog/members"
 BEAT = 2.0  # s between the empty lines of a watch that has nothing to tell
@@ -34,7 +34,7 @@
 RETRY_PUSHED = 0.1
 MAX_LINE = 8 << 20  # bytes
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 
 class DiscoveryError(Exception):
--- a/badgercart/eventlog.py
+++ b/flaxstep/proxy/event_log.py
@@ -10,7 +10,7 @@
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
-log = logging.getLogger("badgercart.events")
+log = logging.getLogger("flaxstep.proxy.events")
 
 
 def event(name: str, **fields: object) -> None:
--- a/badgercart/memberlist.py
+++ b/flaxstep/proxy/member_list.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from badgercart.config import Address, parse_address
-from badgercart.wallclock import WallClock
-from cottonhall.interface import ListKind, ServerEntry, State
-from cottonhall.membership import MAX_TOMBSTONES, Membership
+from flaxstep.proxy.config import Address, parse_address
+from flaxstep.proxy.wall_clock import WallClock
+from flaxstep.routing.interface import ListKind, ServerEntry, State
+from flaxstep.routing.membership import MAX_TOMBSTONES, Membership
 
 STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
 MAX_TOLD = 1024  # faults that are remembered so that each is logged once
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True, frozen=True)
--- a/badgercart/figures.py
+++ b/flaxstep/proxy/metrics.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Iterable, Mapping, Set
 
-from cottonhall.interface import NEVER_RAN, Result
+from flaxstep.routing.interface import NEVER_RAN, Result
 
 PREFIX = "edge_router"
 PER_OCTAVE = 4  # buckets of answer times to a doubling: within 19%
--- a/badgercart/node.py
+++ b/flaxstep/proxy/node.py
@@ -17,19 +17,19 @@
 from dataclasses import dataclass
 from typing import Any
 
-from badgercart.admin import Door, Reply
-from badgercart.bodies import MAX_BODY, Room
-from badgercart.clients import LEAST_RATE, ClientConnection, ClientRequest, Listener, stable_id
-from badgercart.config import Address, Config
-from badgercart.discovery import Discovery
-from badgercart.eventlog import event as log_event
-from badgercart.figures import Figures, ServerFigures
-from badgercart.handover import Handover, Shared
-from badgercart.memberlist import Endpoint, MemberList, MemberListReader
-from badgercart.servers import Answer, Attempt, Message, ServerPool
-from badgercart.wallclock import WallClock, now_ms
-from cottonhall import Policy
-from cottonhall.interface import (
+from flaxstep.proxy.admin import Door, Reply
+from flaxstep.proxy.client_connections import LEAST_RATE, ClientConnection, ClientRequest, Listener, stable_id
+from flaxstep.proxy.config import Address, Config
+from flaxstep.proxy.discovery import Discovery
+from flaxstep.proxy.event_log import event as log_event
+from flaxstep.proxy.member_list import Endpoint, MemberList, MemberListReader
+from flaxstep.proxy.metrics import Figures, ServerFigures
+from flaxstep.proxy.request_bodies import MAX_BODY, Room
+from flaxstep.proxy.server_connections import Answer, Attempt, Message, ServerPool
+from flaxstep.proxy.shared_state import Handover, Shared
+from flaxstep.proxy.wall_clock import WallClock, now_ms
+from flaxstep.routing import Policy
+from flaxstep.routing.interface import (
     Action,
     Began,
     Cancel,
@@ -73,7 +73,7 @@
 LOGGED_CHANGES = 4  # endpoints that a line about a list names
 DRAIN_LOOK = 0.02  # s between looks whether all clients are answered
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True)
--- a/badgercart/servers.py
+++ b/flaxstep/proxy/server_connections.py
@@ -10,13 +10,13 @@
 
 import httptools
 
-from badgercart.bodies import LEAST, WHOLE, Room, Upload
-from badgercart.config import Address
-from badgercart.eventlog import event
-from badgercart.figures import Figures
-from badgercart.framing import cut, unread
-from badgercart.wallclock import now_ms
-from cottonhall.interface import Result, State
+from flaxstep.proxy.config import Address
+from flaxstep.proxy.connection_close import cut, unread
+from flaxstep.proxy.event_log import event
+from flaxstep.proxy.metrics import Figures
+from flaxstep.proxy.request_bodies import LEAST, WHOLE, Room, Upload
+from flaxstep.proxy.wall_clock import now_ms
+from flaxstep.routing.interface import Result, State
 
 HOLD = 0.025  # s for which an answer of unknown length is held, in case that it is short
 STALL_TIME = 5.0  # s without taking a byte of a request after which a server gets no more of it
@@ -35,7 +35,7 @@
 RESET_CAUSES = frozenset({"bytes_unasked", "makes_room", "came_up_late", "endpoint_changed_while_connecting"})
 FORGET = 5  # sweeps after which what was seen counts half
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True)
--- a/badgercart/handover.py
+++ b/flaxstep/proxy/shared_state.py
@@ -21,7 +21,7 @@
 MAX_FILE = 1 << 20  # bytes; what is larger was not written here
 LOCK_TIME = 0.1  # s to wait for the lock: whoever holds it needs far less
 
-log = logging.getLogger("badgercart")
+log = logging.getLogger("flaxstep.proxy")
 
 
 def load_limited(data: bytes) -> Any:
@@ -96,6 +96,7 @@
         self.others = False  # another process of the node runs
         self.stamp: tuple[int, int] | None = None  # of the file as last read
         self.folder = folder
+        # The file names keep this prefix: processes of earlier versions read and write them.
         stem = "badgercart-" + name.encode().hex()
         self.stem = stem + "."
         self.presence: int | None = None  # descriptor of the own lock
--- a/releases/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from releases.judge import Seen
-from releases.view import Answers, Bins, View
+from flaxstep.rollout.canary_analysis import Seen
+from flaxstep.rollout.snapshot import Answers, Bins, View
 
 ABOVE = 0.25  # the part of a member's answers that shall lie above its mark
 LEAST = 30  # answers below which a member's own mark says little: then all members' mark is taken
--- a/releases/farm.py
+++ b/flaxstep/rollout/farm.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta
 
-from releases.checked import convert_all
-from releases.plan import PlanError, Text
+from flaxstep.rollout.config_decoding import convert_all
+from flaxstep.rollout.plan import PlanError, Text
 
 Place = Annotated[str, Meta(pattern=r"^[0-9a-zA-Z._-]+:[0-9]{1,5}$")]
 
--- a/releases/rim/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from releases.acts import Act, Do, Result, Standing
-from releases.course import Course
-from releases.farm import Farm
-from releases.plan import Member, Plan, PlanError
-from releases.release import ENDED, Release, State, line_up
-from releases.rim.hands import Hands
-from releases.rim.look import look, look_at_list
-from releases.rim.store import ClaimLost, Kept, Store, StoreError, clock
+from flaxstep.rollout.actions import Act, Do, Result, Standing
+from flaxstep.rollout.farm import Farm
+from flaxstep.rollout.io.executor import Hands
+from flaxstep.rollout.io.snapshot_collector import look, look_at_list
+from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
+from flaxstep.rollout.plan import Member, Plan, PlanError
+from flaxstep.rollout.release import ENDED, Release, State, line_up
+from flaxstep.rollout.state_machine import Course
 
 ASKED_AT_ONCE = 8  # commands
 LOST = Result(False, "its result was lost with the controller", known=False)
--- a/releases/rim/hands.py
+++ b/flaxstep/rollout/io/executor.py
@@ -7,12 +7,12 @@
 import signal
 from contextlib import suppress
 
-from releases.acts import Act, Do, Result
-from releases.farm import Farm
-from releases.plan import Plan, command
-from releases.rim.children import end_with
-from releases.rim.http import text
-from releases.view import View
+from flaxstep.rollout.actions import Act, Do, Result
+from flaxstep.rollout.farm import Farm
+from flaxstep.rollout.io.child_processes import end_with
+from flaxstep.rollout.io.http_client import text
+from flaxstep.rollout.plan import Plan, command
+from flaxstep.rollout.snapshot import View
 
 OUTPUT = 64 << 10  # bytes of a command's output that are kept
 
--- a/releases/rim/look.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -7,9 +7,9 @@
 from collections import Counter
 from typing import Any
 
-from releases.farm import Farm, NodeLine
-from releases.rim.http import CallError, call, text
-from releases.view import Answers, Held, Listed, NodeView, Process, View
+from flaxstep.rollout.farm import Farm, NodeLine
+from flaxstep.rollout.io.http_client import CallError, call, text
+from flaxstep.rollout.snapshot import Answers, Held, Listed, NodeView, Process, View
 
 MEMBERS = "/catalog/members"
 LIST_TIME = 2.0  # s
--- a/releases/rim/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from releases.acts import CHANGES, Act, Do, Result, Standing
-from releases.plan import Plan
-from releases.release import Release
+from flaxstep.rollout.actions import CHANGES, Act, Do, Result, Standing
+from flaxstep.rollout.plan import Plan
+from flaxstep.rollout.release import Release
 
 FORM = 1  # of the tables; a file of another form is left alone
 LEASE = 10.0  # s after which a claim that was not renewed may be taken
--- a/releases/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from releases.acts import Phase, Standing
-from releases.plan import Plan
-from releases.view import Listed, View
+from flaxstep.rollout.actions import Phase, Standing
+from flaxstep.rollout.plan import Plan
+from flaxstep.rollout.snapshot import Listed, View
 
 MOST_CRASHES = 2  # of released members, and more than of the others
 AWAY = frozenset({Phase.FINDING, Phase.PROVING, Phase.DOWN})  # listed or not, nobody expects it to serve
--- a/releases/trips.py
+++ b/flaxstep/rollout/member_steps.py
@@ -9,8 +9,8 @@
 
 from typing import Protocol
 
-from releases.acts import Act, Asks, Do, Phase, Result, Standing, Times
-from releases.view import View
+from flaxstep.rollout.actions import Act, Asks, Do, Phase, Result, Standing, Times
+from flaxstep.rollout.snapshot import View
 
 MOST_TRIES = 3  # commands for one member and direction that left no trace
 
--- a/releases/plan.py
+++ b/flaxstep/rollout/plan.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta
 
-from releases.checked import convert_all
+from flaxstep.rollout.config_decoding import convert_all
 
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 Part = Annotated[float, Meta(gt=0, le=1)]
--- a/releases/release.py
+++ b/flaxstep/rollout/release.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from releases.acts import Phase, Standing
-from releases.evidence import Mark
-from releases.plan import Member, Plan, waves
+from flaxstep.rollout.actions import Phase, Standing
+from flaxstep.rollout.evidence import Mark
+from flaxstep.rollout.plan import Member, Plan, waves
 
 
 class State(Enum):
--- a/releases/course.py
+++ b/flaxstep/rollout/state_machine.py
@@ -8,13 +8,13 @@
 
 from collections.abc import Iterable, Iterator, Mapping
 
-from releases.acts import OUTWARD, Act, Asks, Phase, Result, Standing, Times
-from releases.limits import broken, meet, no_room, silent, unfit
-from releases.plan import Plan
-from releases.release import ENDED, RUNNING, Line, Release, State
-from releases.scales import Scales
-from releases.trips import NodeTrip, ServerTrip, Trip
-from releases.view import View
+from flaxstep.rollout.actions import OUTWARD, Act, Asks, Phase, Result, Standing, Times
+from flaxstep.rollout.limits import broken, meet, no_room, silent, unfit
+from flaxstep.rollout.member_steps import NodeTrip, ServerTrip, Trip
+from flaxstep.rollout.plan import Plan
+from flaxstep.rollout.release import ENDED, RUNNING, Line, Release, State
+from flaxstep.rollout.snapshot import View
+from flaxstep.rollout.wave_evaluation import Scales
 
 LOW_TIME = 30.0  # s: bursts end sooner, and are no version's fault
 MOST_TRIES = 4  # trips of one member that came to nothing, for reasons of the farm's
--- a/releases/scales.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from releases.acts import Phase
-from releases.evidence import Evidence
-from releases.judge import Finding, Judge, Opinion
-from releases.release import Line, State
-from releases.view import View
+from flaxstep.rollout.actions import Phase
+from flaxstep.rollout.canary_analysis import Finding, Judge, Opinion
+from flaxstep.rollout.evidence import Evidence
+from flaxstep.rollout.release import Line, State
+from flaxstep.rollout.snapshot import View
 
 LEAST_BEFORE = 50  # answers to measure before the release begins
 UNSURE = 2.0  # a stake over this: a wave is watched for up to so many times its time
--- a/cottonhall/membership.py
+++ b/flaxstep/routing/membership.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from cottonhall.interface import ListKind, Reach, ServerEntry, Settings, State
+from flaxstep.routing.interface import ListKind, Reach, ServerEntry, Settings, State
 
 # A change counts as told this long after discovery had it and could be reached, whether or not it arrived
 # (PROTOCOL, Figures; STANDING), and this long after SIGHUP (TERMS, Configuration changes).
--- a/cottonhall/rules.py
+++ b/flaxstep/routing/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer. Its types, events and actions are in cottonhall/interface.py.
+"""Every decision of the balancer. Its types, events and actions are in flaxstep/routing/interface.py.
 
 A request is scored by worth on arrival. Under measured overload x those scored below 100 * x**3 are refused;
 the rest go to a random idle-looking server of a small draw; what counts as idle rises with the load.
@@ -12,7 +12,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from cottonhall.interface import (
+from flaxstep.routing.hash_ring import HashRing, mix
+from flaxstep.routing.interface import (
     MAY_RUN_ON,
     NEVER_RAN,
     Action,
@@ -44,8 +45,7 @@
     Wake,
     Withdrawn,
 )
-from cottonhall.membership import MembershipLease
-from cottonhall.ring import HashRing, mix
+from flaxstep.routing.membership import MembershipLease
 
 UPKEEP = 50.0  # ms between refreshes of shares and overload; far below any aim
 SHARE_HALF = 5000.0  # ms after which counts of offered work and keys are halved
--- a/cottonhall/benchlink.py
+++ b/flaxstep/routing/simulator_adapter.py
@@ -7,8 +7,8 @@
 import traceback
 from typing import BinaryIO
 
-from cottonhall.rules import Policy
-from cottonhall.wire import BATCH_HEAD, Born, Decoder, Encoder, Killed, WireError
+from flaxstep.routing.policy import Policy
+from flaxstep.routing.simulator_wire import BATCH_HEAD, Born, Decoder, Encoder, Killed, WireError
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/cottonhall/wire.py
+++ b/flaxstep/routing/simulator_wire.py
@@ -6,7 +6,7 @@
 import struct
 from typing import Any
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     Action,
     Began,
     Cancel,
--- a/flaxstep/lab/baselines.py
+++ b/flaxstep/simulator/baselines.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     NEVER_RAN,
     Fail,
     ListKind,
@@ -26,7 +26,7 @@
     Wake,
     Withdrawn,
 )
-from cottonhall.interface import Cordon as CordonEvent
+from flaxstep.routing.interface import Cordon as CordonEvent
 
 LATE = 25.0  # ms by which the seeing one's view is old, on average half of it
 FIRST, LAST = (
--- a/flaxstep/lab/rigging.py
+++ b/flaxstep/simulator/fault_config.py
@@ -9,7 +9,7 @@
 import re
 from typing import Literal
 
-from flaxstep.lab.table import Natural, Part, Positive, Range, Table
+from flaxstep.simulator.config_types import Natural, Part, Positive, Range, Table
 
 AGAIN = ("kill", "term", "restart")  # what can be started again afterwards: nodes and servers
 LINK_FAULTS = ("delay", "rate", "silent", "reset", "refuse", "hold")
--- a/flaxstep/lab/farm.py
+++ b/flaxstep/simulator/job_servers.py
@@ -13,8 +13,8 @@
 from heapq import heappop, heappush
 from typing import Protocol
 
-from cottonhall.interface import Result, State
-from flaxstep.lab.engine import Chance, Engine
+from flaxstep.routing.interface import Result, State
+from flaxstep.simulator.engine import Chance, Engine
 
 TICK = 100.0  # ms between looks at warmth, slowdown and tipping
 QUICK_ERROR = 1.0  # ms that a fast error takes
--- /dev/null
+++ b/flaxstep/simulator/revision_runner.py
@@ -0,0 +1,44 @@
+"""Plays a day with the routing package of another revision, in a process of its own that runner.py starts."""
+
+from __future__ import annotations
+
+import importlib
+import sys
+from pathlib import Path
+
+import flaxstep
+
+OLD_NAMES = {  # today's modules of flaxstep.routing, and their names in the package cottonhall
+    "interface": "interface",
+    "membership": "membership",
+    "hash_ring": "ring",
+    "policy": "rules",
+    "simulator_wire": "wire",
+}
+
+
+def use_routing_of(folder: Path) -> None:
+    """Make `flaxstep.routing` the package in this folder. Nothing may have imported it before."""
+    assert "flaxstep.routing" not in sys.modules
+    if (folder / "flaxstep" / "routing").is_dir():
+        flaxstep.__path__.insert(0, str(folder / "flaxstep"))
+        return
+    sys.path.insert(0, str(folder))  # a revision from before the package had its present name
+    sys.modules["flaxstep.routing"] = importlib.import_module("cottonhall")
+    for name, old_name in OLD_NAMES.items():
+        if (folder / "cottonhall" / f"{old_name}.py").exists():
+            module = importlib.import_module(f"cottonhall.{old_name}")
+            sys.modules[f"flaxstep.routing.{name}"] = module
+
+
+def main(folder: str, file: str, number: str, revision_name: str) -> None:
+    use_routing_of(Path(folder))
+    from flaxstep.simulator.runner import encode, play, player  # imports flaxstep.routing
+    from flaxstep.simulator.scenario import read_scenario
+
+    result = play(read_scenario(Path(file)), int(number), player(f"rev {revision_name}"))
+    sys.stdout.buffer.write(encode(result))
+
+
+if __name__ == "__main__":
+    main(*sys.argv[1:])
--- a/flaxstep/lab/play.py
+++ b/flaxstep/simulator/runner.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from cottonhall import interface
-from cottonhall.interface import Settings
-from cottonhall.rules import Policy
-from flaxstep.lab.events import begin
-from flaxstep.lab.host import Module
-from flaxstep.lab.scenario import Scenario, read_scenario
-from flaxstep.lab.world import MakePolicy, Run, World
+from flaxstep.routing import interface
+from flaxstep.routing.interface import Settings
+from flaxstep.routing.policy import Policy
+from flaxstep.simulator.scenario import Scenario
+from flaxstep.simulator.scheduled_events import begin
+from flaxstep.simulator.simulated_node import Module
+from flaxstep.simulator.simulation import MakePolicy, Run, World
 
 ROOT = Path(__file__).resolve().parents[2]
 HERE = "here"
@@ -46,10 +46,10 @@
 
 
 def player(name: str) -> Player:
-    """The module of the `cottonhall` that this process has loaded, or one of the baselines."""
+    """The module of the routing package that this process has loaded, or one of the baselines."""
     if name == HERE or name.startswith("rev "):
         return Player(name, make_policy, frozenset(vars(interface)))
-    from flaxstep.lab.baselines import BASELINES  # needs today's interface, which a revision may lack
+    from flaxstep.simulator.baselines import BASELINES  # needs today's interface, which a revision may lack
 
     return Player(name, BASELINES[name], frozenset({"Cordon", "Uncordon"}))
 
@@ -65,13 +65,14 @@
     """One day with a module by name. A revision's has a process of its own: its interface differs."""
     if scenario.rig.faults:
         raise NotPlayable(f"{path}: rig.faults: the lab has no links and processes; 'flaxstep rig play' has")
-    from flaxstep.lab.baselines import BASELINES
+    from flaxstep.simulator.baselines import BASELINES
 
     if policy == HERE or policy in BASELINES:
         return play(scenario, seed, player(policy))
     commit, folder = revision(policy)
-    command = [sys.executable, "-B", "-m", "flaxstep.lab.play", str(path.resolve()), str(seed), commit]
-    environment = os.environ | {"PYTHONPATH": f"{folder}{os.pathsep}{ROOT}"}
+    module = "flaxstep.simulator.revision_runner"
+    command = [sys.executable, "-B", "-m", module, str(folder), str(path.resolve()), str(seed), commit]
+    environment = os.environ | {"PYTHONPATH": str(ROOT)}
     done = subprocess.run(command, env=environment, cwd=folder, capture_output=True, check=False)
     if done.returncode:
         last = done.stderr.decode(errors="replace").strip().splitlines()[-1:]
@@ -80,15 +81,16 @@
 
 
 def revision(name: str) -> tuple[str, Path]:
-    """The commit that a name means, and a folder with its `cottonhall`; kept for the next time."""
+    """The commit that a name means, and a folder with its routing package; kept for the next time."""
     commit = git("rev-parse", "--verify", "--quiet", f"{name}^{{commit}}").decode().strip()
     if not commit:
         raise NotPlayable(f"{name}: neither 'here', nor a baseline, nor a revision of this repository")
     folder = ROOT / "runs" / "modules" / commit
     if not folder.exists():
-        archive = git("archive", "--format=tar", commit, "cottonhall")
+        archive = git("archive", "--format=tar", commit, "flaxstep/routing")
+        archive = archive or git("archive", "--format=tar", commit, "cottonhall")  # its earlier name
         if not archive:
-            raise NotPlayable(f"{name}: has no cottonhall")
+            raise NotPlayable(f"{name}: has neither flaxstep/routing nor cottonhall")
         half = folder.with_name(f"{commit}.{os.getpid()}")
         half.mkdir(parents=True)
         with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
@@ -111,9 +113,3 @@
 def encode(run: Run) -> bytes:
     """The result file: JSON, keys in their order."""
     return msgspec.json.encode(run) + b"\n"
-
-
-if __name__ == "__main__":  # a revision's module, for play_with
-    file, number, revision_name = sys.argv[1:]
-    result = play(read_scenario(Path(file)), int(number), player(f"rev {revision_name}"))
-    sys.stdout.buffer.write(encode(result))
--- a/flaxstep/lab/draw.py
+++ b/flaxstep/simulator/sampling.py
@@ -8,10 +8,10 @@
 import numpy as np
 import numpy.typing as npt
 
-from flaxstep.lab.engine import Streams
-from flaxstep.lab.farm import ChokePlan, ServerPlan
-from flaxstep.lab.scenario import Act, Scenario, Trouble
-from flaxstep.lab.table import Range
+from flaxstep.simulator.config_types import Range
+from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.job_servers import ChokePlan, ServerPlan
+from flaxstep.simulator.scenario import Act, Scenario, Trouble
 
 NOISE = 1 << 14  # numbers in the table of noise that attempts look up; a power of two
 Floats = npt.NDArray[np.float64]
--- a/flaxstep/lab/scenario.py
+++ b/flaxstep/simulator/scenario.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta
 
-from flaxstep.lab.rigging import Rigging, fault_error
-from flaxstep.lab.table import Natural, Part, Positive, Range, Span, Table
+from flaxstep.simulator.config_types import Natural, Part, Positive, Range, Span, Table
+from flaxstep.simulator.fault_config import Rigging, fault_error
 
 
 class ScenarioError(Exception):
--- a/flaxstep/lab/events.py
+++ b/flaxstep/simulator/scheduled_events.py
@@ -7,11 +7,11 @@
 
 import numpy as np
 
-from cottonhall.interface import State
-from flaxstep.lab.draw import Happening
-from flaxstep.lab.farm import Server
-from flaxstep.lab.host import Process
-from flaxstep.lab.world import World
+from flaxstep.routing.interface import State
+from flaxstep.simulator.job_servers import Server
+from flaxstep.simulator.sampling import Happening
+from flaxstep.simulator.simulated_node import Process
+from flaxstep.simulator.simulation import World
 
 CALL_MS = 5.0  # between an operator's calls at one node and the next
 RESTART_AFTER = 1000.0  # ms from the cordon to the restart of the server
--- a/flaxstep/lab/judge.py
+++ b/flaxstep/simulator/scoring.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from flaxstep.lab.scenario import Scenario
+from flaxstep.simulator.scenario import Scenario
 
 WINDOW = 10  # s of the worst stretch
 MOST_BREACHES = 50  # of a rule that are kept with their details; the rest are counted
--- a/flaxstep/lab/host.py
+++ b/flaxstep/simulator/simulated_node.py
@@ -1,7 +1,7 @@
 """A node of the model: hosts the module, unchanged, and turns its actions into what happens in the farm.
 
-What the real node does in `badgercart/node.py` with sockets, this does with calls in virtual time. It decides
-nothing. It also watches the rules from outside, as the bench does.
+What the real node does in `flaxstep/proxy/node.py` with sockets, this does with calls in virtual time. It
+decides nothing. It also watches the rules from outside, as the bench does.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from cottonhall import interface
-from cottonhall.interface import (
+from flaxstep.routing import interface
+from flaxstep.routing.interface import (
     NEVER_RAN,
     ListKind,
     Outcome,
@@ -24,11 +24,11 @@
     Timer,
     Withdrawn,
 )
-from flaxstep.lab.draw import Plan
-from flaxstep.lab.engine import Engine
-from flaxstep.lab.farm import NEVER, Attempt, Server, Tally
-from flaxstep.lab.judge import Judge
-from flaxstep.lab.scenario import Scenario
+from flaxstep.simulator.engine import Engine
+from flaxstep.simulator.job_servers import NEVER, Attempt, Server, Tally
+from flaxstep.simulator.sampling import Plan
+from flaxstep.simulator.scenario import Scenario
+from flaxstep.simulator.scoring import Judge
 
 PROBE_TIME = 120.0  # ms after which a probe has failed
 
--- a/flaxstep/lab/world.py
+++ b/flaxstep/simulator/simulation.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     Effect,
     Group,
     ListKind,
@@ -18,12 +18,12 @@
     Settings,
     State,
 )
-from flaxstep.lab.draw import Happening, Plan, draw_plan
-from flaxstep.lab.engine import Engine, Streams
-from flaxstep.lab.farm import TICK, Attempt, Server, Tally
-from flaxstep.lab.host import Module, Process, Try
-from flaxstep.lab.judge import Breach, Judge, Verdict
-from flaxstep.lab.scenario import Scenario
+from flaxstep.simulator.engine import Engine, Streams
+from flaxstep.simulator.job_servers import TICK, Attempt, Server, Tally
+from flaxstep.simulator.sampling import Happening, Plan, draw_plan
+from flaxstep.simulator.scenario import Scenario
+from flaxstep.simulator.scoring import Breach, Judge, Verdict
+from flaxstep.simulator.simulated_node import Module, Process, Try
 
 LOOK = 250.0  # ms between samples of what nodes believe and what is true
 AFTER = 3000.0  # ms for which a day runs on, until all is answered
--- a/flaxstep/lab/release.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -1,7 +1,7 @@
 """A staged release in a day of the model: the real course, with looks and acts in virtual time.
 
-What `releases/rim` does with doors and commands, this does with calls into the world. A version differs by
-the figures that the rig's versions have.
+What `flaxstep/rollout/io` does with doors and commands, this does with calls into the world. A version
+differs by the figures that the rig's versions have.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from badgercart.figures import ServerFigures
-from cottonhall.interface import Result as Ended
-from cottonhall.interface import State as Lifecycle
-from flaxstep.lab.engine import Chance
-from flaxstep.lab.farm import Attempt
-from flaxstep.lab.host import Process
-from flaxstep.lab.rigging import Figures
-from flaxstep.lab.world import World
-from releases.acts import Act, Do, Result
-from releases.course import Course
-from releases.plan import Member, Plan
-from releases.release import Release, State, line_up
-from releases.view import Answers, Held, Listed, NodeView, View
-from releases.view import Process as Told
+from flaxstep.proxy.metrics import ServerFigures
+from flaxstep.rollout.actions import Act, Do, Result
+from flaxstep.rollout.plan import Member, Plan
+from flaxstep.rollout.release import Release, State, line_up
+from flaxstep.rollout.snapshot import Answers, Held, Listed, NodeView, View
+from flaxstep.rollout.snapshot import Process as Told
+from flaxstep.rollout.state_machine import Course
+from flaxstep.routing.interface import Result as Ended
+from flaxstep.routing.interface import State as Lifecycle
+from flaxstep.simulator.engine import Chance
+from flaxstep.simulator.fault_config import Figures
+from flaxstep.simulator.job_servers import Attempt
+from flaxstep.simulator.simulated_node import Process
+from flaxstep.simulator.simulation import World
 
 CALL_MS = 5.0  # a call at a door
 
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from releases.acts import CHANGES, Act, Do, Result
-from releases.course import Course
-from releases.plan import Member, Plan, parse_plan
-from releases.release import ENDED, Release, line_up
-from releases.rim.controller import LOST
-from releases.rim.store import Store
-from releases.view import Answers, Held, Listed, NodeView, Process, View
+from flaxstep.rollout.actions import CHANGES, Act, Do, Result
+from flaxstep.rollout.io.controller import LOST
+from flaxstep.rollout.io.store import Store
+from flaxstep.rollout.plan import Member, Plan, parse_plan
+from flaxstep.rollout.release import ENDED, Release, line_up
+from flaxstep.rollout.snapshot import Answers, Held, Listed, NodeView, Process, View
+from flaxstep.rollout.state_machine import Course
 
 PLAN = """
 name = "v2"
--- a/tests/net.py
+++ b/tests/net.py
@@ -8,9 +8,9 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from badgercart.config import Config
-from badgercart.node import Node
-from cottonhall.interface import Effect, Outcome, RequestClass, Settings
+from flaxstep.proxy.config import Config
+from flaxstep.proxy.node import Node
+from flaxstep.routing.interface import Effect, Outcome, RequestClass, Settings
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 CLASSES = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from flaxstep.lab.scenario import Scenario, read_scenario
-from flaxstep.rig.record import read_records
-from flaxstep.rig.result import Result, judge_play
-from flaxstep.rig.stage import Stage
-from flaxstep.rig.story import Story, tell
+from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.records import read_records
+from flaxstep.faultbench.result import Result, judge_play
+from flaxstep.faultbench.trace import Story, tell
+from flaxstep.simulator.scenario import Scenario, read_scenario
 
 ROOT = Path(__file__).parent.parent
-NODE = f"exec {sys.executable} -B -m badgercart"
+NODE = f"exec {sys.executable} -B -m flaxstep.proxy"
 SMALL = """
 name = "small"
 length_s = {seconds}
--- a/tests/shim.py
+++ b/tests/shim.py
@@ -1,11 +1,11 @@
-"""Builds the C library that makes system calls of a node's process fail (`flaxstep/rig/shim`)."""
+"""Builds the C library that makes system calls of a node's process fail (`flaxstep/faultbench/shim`)."""
 
 from __future__ import annotations
 
 import subprocess
 from pathlib import Path
 
-SOURCE = Path(__file__).parent.parent / "flaxstep" / "rig" / "shim" / "syscalls.c"
+SOURCE = Path(__file__).parent.parent / "flaxstep" / "faultbench" / "shim" / "syscalls.c"
 
 
 def build_shim(folder: Path) -> Path:
--- a/tests/support.py
+++ b/tests/support.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import replace
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     Cancel,
     Effect,
     Fail,
@@ -27,7 +27,7 @@
     Wake,
     Withdrawn,
 )
-from cottonhall.rules import Policy
+from flaxstep.routing.policy import Policy
 
 START = 50_000.0
 SAFE = RequestClass(aim=400.0, deadline=1000.0, worth=10.0, effect=Effect.SAFE)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from badgercart import admin, clients
+from flaxstep.proxy import admin, client_connections
 from tests.net import WAIT, Peer, answer_ok, field, request, running
 from tests.test_node import run
 
@@ -114,7 +114,7 @@
 
 
 def test_quiesce_empties_the_node_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "FRESH", 0.1)
+    monkeypatch.setattr(client_connections, "FRESH", 0.1)
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -157,7 +157,7 @@
 
 
 def test_sigterm_ends_a_quiesced_node_and_leaves_no_way_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("badgercart.node.ACCEPT_FOR", 0.3)
+    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
 
     async def test() -> None:
         async with running(await Peer().start(), admin=DOOR) as stand:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from badgercart import clients, servers
-from badgercart.bodies import LEAST, WHOLE, Room
-from badgercart.clients import stable_id
-from badgercart.framing import reset
-from badgercart.wallclock import now_ms
-from cottonhall.interface import Began, Outcome, Request, Result, Uploaded
+from flaxstep.proxy import client_connections, server_connections
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.connection_close import reset
+from flaxstep.proxy.request_bodies import LEAST, WHOLE, Room
+from flaxstep.proxy.wall_clock import now_ms
+from flaxstep.routing.interface import Began, Outcome, Request, Result, Uploaded
 from tests.net import OK, WAIT, Client, Peer, Stand, answer, field, request, running, stay_silent
 from tests.test_admin import DOOR, until
-from tests.test_figures import stats
+from tests.test_metrics import stats
 from tests.test_node import run
 
 BIG = bytes(range(256)) * 8192  # 2 MiB
@@ -286,7 +286,7 @@
 def test_a_server_that_never_takes_the_rest_is_given_up_and_the_request_has_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(servers, "STALL_TIME", 0.3)
+    monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
 
     async def test() -> None:
         async with taking(attempts=3) as (stand, taker):
@@ -377,8 +377,8 @@
 
 
 def test_a_body_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.4)
-    monkeypatch.setattr(clients, "LEAST_RATE", 400_000)
+    monkeypatch.setattr(client_connections, "REQUEST_TIME", 0.4)
+    monkeypatch.setattr(client_connections, "LEAST_RATE", 400_000)
 
     async def test() -> None:
         async with taking() as (stand, taker):
@@ -401,8 +401,8 @@
     monkeypatch: pytest.MonkeyPatch, stalls: bool
 ) -> None:
     for name in ("REQUEST_TIME", "PROVE_TIME"):
-        monkeypatch.setattr(clients, name, 0.4)
-    monkeypatch.setattr(clients, "LEAST_RATE", 20_000)
+        monkeypatch.setattr(client_connections, name, 0.4)
+    monkeypatch.setattr(client_connections, "LEAST_RATE", 20_000)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -457,7 +457,7 @@
 
 
 def test_a_body_over_the_limit_is_told_also_where_it_comes_in_chunks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "MAX_BODY", 300_000)
+    monkeypatch.setattr(client_connections, "MAX_BODY", 300_000)
 
     async def test() -> None:
         async with taking() as (stand, taker):
@@ -543,8 +543,8 @@
 
 
 def test_an_answer_that_falls_silent_half_way_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(servers, "SILENCE", 0.2)
-    monkeypatch.setattr(servers, "SWEEP", 0.05)
+    monkeypatch.setattr(server_connections, "SILENCE", 0.2)
+    monkeypatch.setattr(server_connections, "SWEEP", 0.05)
 
     async def test() -> None:
         async with running(await Peer(answer(ANSWERS["length"][:500_000])).start()) as stand:
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from badgercart import handover
-from badgercart.clients import stable_id
-from badgercart.handover import Handover, Shared
-from cottonhall.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
+from flaxstep.proxy import shared_state
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.shared_state import Handover, Shared
+from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
 from tests.net import WAIT, Peer, Stand, request, running
 from tests.support import START, Stage, server, settings
 from tests.test_admin import DOOR, until
-from tests.test_figures import stats
+from tests.test_metrics import stats
 from tests.test_node import run
 
 
@@ -245,7 +245,7 @@
 
     second = Handover(tmp_path, "n0", lambda before, now: None)
     with monkeypatch.context() as failing:
-        failing.setattr(handover, call, fail)
+        failing.setattr(shared_state, call, fail)
         second.start()
         assert not second.looked
     second.look()
@@ -263,7 +263,7 @@
     before.start()
     before.change(lambda shared: shared.without("s-1"))
     before.close()
-    read, left = handover.read_limited, [3]
+    read, left = shared_state.read_limited, [3]
 
     def fail(path: Path) -> bytes:
         if left[0]:
@@ -271,7 +271,7 @@
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         return read(path)
 
-    monkeypatch.setattr(handover, "read_limited", fail)
+    monkeypatch.setattr(shared_state, "read_limited", fail)
 
     async def whole() -> None:
         async with running(await Peer().start(), admin=DOOR, shared=tmp_path) as stand:
@@ -282,7 +282,7 @@
 
 
 def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(handover, "LOCK_TIME", 0.02)
+    monkeypatch.setattr(shared_state, "LOCK_TIME", 0.02)
     first, second = (Handover(tmp_path, "n0", lambda before, now: None) for _ in range(2))
     with first.locked(), pytest.raises(TimeoutError):
         second.change(lambda shared: shared.without("s-1"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,11 +15,11 @@
 
 import pytest
 
-from badgercart import clients, discovery, framing, servers
-from badgercart.bodies import WHOLE
-from badgercart.clients import stable_id
-from badgercart.servers import Attempt, ServerConnection
-from cottonhall.interface import (
+from flaxstep.proxy import client_connections, connection_close, discovery, server_connections
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.request_bodies import WHOLE
+from flaxstep.proxy.server_connections import Attempt, ServerConnection
+from flaxstep.routing.interface import (
     Began,
     Effect,
     Group,
@@ -242,7 +242,7 @@
 def test_an_answer_that_its_client_reads_slowly_outlasts_the_end_of_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(framing, "LINGER", 0.0)
+    monkeypatch.setattr(connection_close, "LINGER", 0.0)
     size = 1 << 20
 
     async def pour(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -279,7 +279,7 @@
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
             client = Raw(stand)
-            client.send(request() * (2 * clients.MAX_WAITING))
+            client.send(request() * (2 * client_connections.MAX_WAITING))
             await asyncio.wait_for(peer.requests.get(), WAIT)
             (connection,) = stand.node.listener.connections
             assert connection.crowded
@@ -405,7 +405,7 @@
 
 
 def test_the_attempt_that_is_given_up_ends_before_the_next_is_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(servers, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "REST", 0.0)
     seen: list[bytes] = []
 
     async def test() -> None:
@@ -565,7 +565,7 @@
 def test_what_came_on_an_idle_connection_and_is_not_read_yet_is_seen(
     happen: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "REST", 0.0)
 
     async def test() -> None:
         peer = RawPeer()
@@ -621,7 +621,7 @@
 def test_an_answer_without_a_length_ends_with_its_stream_and_not_with_a_reset(
     how: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "HOLD", 60.0)
+    monkeypatch.setattr(server_connections, "HOLD", 60.0)
 
     class Spoken(RawPeer):
         async def answer(self, sock: socket.socket) -> None:
@@ -716,15 +716,17 @@
 def test_a_client_that_leaves_just_as_room_is_made_holds_up_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its transport closes a turn later; until then it was the longest idle one, closed again and again.
     looks, limit = 0, 2
-    make_room = clients.Listener.make_room
-    leave = clients.ClientConnection.leave
+    make_room = client_connections.Listener.make_room
+    leave = client_connections.ClientConnection.leave
 
-    def count(listener: clients.Listener, newest: clients.ClientConnection | None) -> bool:
+    def count(
+        listener: client_connections.Listener, newest: client_connections.ClientConnection | None
+    ) -> bool:
         nonlocal looks
         looks += 1
         return looks < 50 and make_room(listener, newest)
 
-    def leave_and_shrink(client: clients.ClientConnection) -> None:
+    def leave_and_shrink(client: client_connections.ClientConnection) -> None:
         leave(client)
         if not looks:  # the first that leaves: its descriptor is not free yet
             assert client in client.listener.connections
@@ -737,8 +739,8 @@
                 assert (await client.ask(request()))[0] == 200
             listener = stand.node.listener
             await until(lambda: len(listener.idle) == 6)
-            monkeypatch.setattr(clients.Listener, "make_room", count)
-            monkeypatch.setattr(clients.ClientConnection, "leave", leave_and_shrink)
+            monkeypatch.setattr(client_connections.Listener, "make_room", count)
+            monkeypatch.setattr(client_connections.ClientConnection, "leave", leave_and_shrink)
             crowd[0].writer.close()
             await until(lambda: looks)
             assert looks < 50
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     Cancel,
     Cordon,
     Group,
@@ -23,7 +23,7 @@
     Uncordon,
     Wake,
 )
-from cottonhall.rules import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
+from flaxstep.routing.policy import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
 from tests.support import KEYED, SAFE, START, UNSAFE, Stage, server, settings
 
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -28,7 +28,7 @@
 from tests.net import WAIT, Client, Peer, request
 from tests.test_process import raw_config
 
-COMMAND = [sys.executable, "-B", "-m", "badgercart"]
+COMMAND = [sys.executable, "-B", "-m", "flaxstep.proxy"]
 GRACE = 0.55  # s after the news is told in which a send may still come: the settings' 0.5 s and the slack
 BETWEEN = 0.02  # s between requests
 BEAT = 2.0  # s between the empty lines of a watch
--- a/tests/test_eventlog.py
+++ b/tests/test_event_log.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from badgercart.config import read_log_level
-from badgercart.eventlog import event, text
+from flaxstep.proxy.config import read_log_level
+from flaxstep.proxy.event_log import event, text
 from tests.net import Peer, answer, request, running
 from tests.test_node import run
 
@@ -29,10 +29,10 @@
 
 
 def test_lines_about_single_events_are_written_only_when_asked_for(caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.INFO, "badgercart.events")
+    caplog.set_level(logging.INFO, "flaxstep.proxy.events")
     event("attempt_sent", request=b"a1")
     assert not caplog.records
-    caplog.set_level(logging.DEBUG, "badgercart.events")
+    caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
     event("attempt_sent", request=b"a1")
     assert caplog.messages == ["event=attempt_sent request=a1"]
 
@@ -51,7 +51,7 @@
 
 
 def test_one_request_can_be_followed_from_its_send_to_its_refusal(caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.DEBUG, "badgercart.events")
+    caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
 
     async def test() -> None:
         async with running(await Peer(answer(FULL)).start()) as stand:
@@ -73,7 +73,7 @@
 
 
 def test_a_call_to_discovery_tells_how_it_ended(caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.INFO, "badgercart")
+    caplog.set_level(logging.INFO, "flaxstep.proxy")
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
--- a/tests/test_ring.py
+++ b/tests/test_hash_ring.py
@@ -5,7 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cottonhall.interface import (
+from flaxstep.routing.hash_ring import HashRing
+from flaxstep.routing.interface import (
     Cordon,
     Effect,
     ListKind,
@@ -16,8 +17,7 @@
     State,
     Uncordon,
 )
-from cottonhall.ring import HashRing
-from cottonhall.rules import Policy
+from flaxstep.routing.policy import Policy
 
 counts = st.dictionaries(st.integers(1, 40), st.integers(0, 17), max_size=12)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,12 +11,12 @@
 import pytest
 from click.testing import CliRunner
 
-from cottonhall.interface import Outcome, Request, Result, Send, ServerList, Settings
 from flaxstep.cli import main
-from flaxstep.lab.engine import Engine, Streams
-from flaxstep.lab.farm import Attempt, ChokePlan, Server, ServerPlan, Tally
-from flaxstep.lab.play import Player, encode, play, player
-from flaxstep.lab.scenario import (
+from flaxstep.routing.interface import Outcome, Request, Result, Send, ServerList, Settings
+from flaxstep.simulator.engine import Engine, Streams
+from flaxstep.simulator.job_servers import Attempt, ChokePlan, Server, ServerPlan, Tally
+from flaxstep.simulator.runner import Player, Run, encode, play, play_with, player
+from flaxstep.simulator.scenario import (
     Act,
     Fleet,
     Load,
@@ -121,7 +121,8 @@
 
 def test_one_seed_is_one_day_to_the_byte_and_under_any_hash() -> None:
     code = (
-        "import sys; from tests.test_lab import SMALL; from flaxstep.lab.play import encode, play, player;"
+        "import sys; from tests.test_lab import SMALL;"
+        "from flaxstep.simulator.runner import encode, play, player;"
         "sys.stdout.buffer.write(encode(play(SMALL, 5, player('here'))))"
     )
     runs = [
@@ -239,3 +240,28 @@
     done = CliRunner().invoke(main, ["lab", "play", str(path), "--seed", "2", "--out", str(out)])
     assert done.exit_code == 0 and "submit-build" in done.output and out.stat().st_size > 1000
     assert CliRunner().invoke(main, ["lab", "play", str(path), "--policy", "no-such"]).exit_code == 2
+
+
+def git(*words: str) -> str:
+    return subprocess.run(
+        ["git", *words], cwd=ROOT, capture_output=True, check=True, text=True
+    ).stdout.strip()
+
+
+def test_modules_of_revisions_play_whatever_the_package_was_called(tmp_path: Path) -> None:
+    """`cottonhall` became `flaxstep.routing` in a commit that changed nothing but names."""
+    path = tmp_path / "short.toml"
+    path.write_text(FILE.read_text().replace("length_s = [25, 28]", "length_s = 4").split("[[acts]]")[0])
+    scenario = read_scenario(path)
+
+    def played(policy: str) -> Run:
+        run = play_with(policy, scenario, path, 2)
+        assert run.policy == ("here" if policy == "here" else f"rev {git('rev-parse', policy)[:12]}")
+        return msgspec.structs.replace(run, policy="")
+
+    renamed = git("log", "-1", "--format=%H", "--", "cottonhall/rules.py")
+    assert "flaxstep/routing" in git("ls-tree", "--name-only", renamed, "flaxstep/routing")
+    assert encode(played(f"{renamed}^")) == encode(played(renamed))
+    last, here = encode(played("HEAD")), encode(played("here"))
+    changed = git("status", "--porcelain", "--", "flaxstep/routing")  # then what is here may decide otherwise
+    assert changed or last == here
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,10 +12,10 @@
 import pytest
 import uvloop
 
-from flaxstep.rig.links import Links
-from flaxstep.rig.record import Recorder, Turn, read_records
-from flaxstep.rig.stage import claim
-from flaxstep.rig.standin import RigError, loopback
+from flaxstep.faultbench.fake_service import RigError, loopback
+from flaxstep.faultbench.farm import claim
+from flaxstep.faultbench.links import Links
+from flaxstep.faultbench.records import Recorder, Turn, read_records
 
 WAIT = 10.0
 SOON = 0.15  # s in which what is not to come would have come
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from flaxstep.cli import main
-from flaxstep.rig.load import LoadClass, Order, Step, arrivals, run_load
+from flaxstep.faultbench.load_generator import LoadClass, Order, Step, arrivals, run_load
 
 STALL = 0.4  # s
 
--- a/tests/test_memberlist.py
+++ b/tests/test_member_list.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgercart.clients import stable_id
-from badgercart.memberlist import MemberListReader
-from badgercart.wallclock import WallClock
-from cottonhall.interface import ListKind, State
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.member_list import MemberListReader
+from flaxstep.proxy.wall_clock import WallClock
+from flaxstep.routing.interface import ListKind, State
 
 NOW, UNIX_OFFSET = 5000.0, 1_700_000_000_000.0
 GOOD: dict[str, Any] = {
@@ -104,7 +104,7 @@
 
 
 def test_each_fault_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.WARNING, "badgercart")
+    caplog.set_level(logging.WARNING, "flaxstep.proxy")
     lists = reader()
     for generation in range(1, 4):
         lists.read(listing(entry("s-1", weight=None), generation=generation), None)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     DiscoveryReach,
     Effect,
     ListKind,
@@ -22,8 +22,8 @@
     Settings,
     State,
 )
-from cottonhall.membership import MembershipLease
-from cottonhall.rules import Policy
+from flaxstep.routing.membership import MembershipLease
+from flaxstep.routing.policy import Policy
 
 GRACE = 500.0
 CLASS = RequestClass(aim=1000.0, deadline=2000.0, worth=1.0, effect=Effect.SAFE)
--- a/tests/test_figures.py
+++ b/tests/test_metrics.py
@@ -6,9 +6,9 @@
 import json
 from typing import Any
 
-from badgercart.figures import Figures, ServerFigures
-from cottonhall.interface import ListKind, Result, ServerList
-from cottonhall.rules import Policy
+from flaxstep.proxy.metrics import Figures, ServerFigures
+from flaxstep.routing.interface import ListKind, Result, ServerList
+from flaxstep.routing.policy import Policy
 from tests.net import CLASSES, OK, Peer, Stand, answer, answer_ok, hang_up, request, running, stay_silent
 from tests.support import server, settings
 from tests.test_admin import DOOR, until
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,12 +13,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from badgercart import clients, discovery, node, servers
-from badgercart.clients import stable_id
-from badgercart.node import MARGIN
-from badgercart.servers import IdleLimit, ServerConnection
-from badgercart.wallclock import now_ms
-from cottonhall.interface import (
+from flaxstep.proxy import client_connections, discovery, node, server_connections
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.node import MARGIN
+from flaxstep.proxy.server_connections import IdleLimit, ServerConnection
+from flaxstep.proxy.wall_clock import now_ms
+from flaxstep.routing.interface import (
     Effect,
     Outcome,
     Reach,
@@ -386,7 +386,7 @@
 
 
 def test_little_of_a_short_time_is_kept_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "now_ms", lambda: 1000.0)
+    monkeypatch.setattr(client_connections, "now_ms", lambda: 1000.0)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -683,7 +683,7 @@
 
 def test_connections_that_servers_end_early_are_not_used_for_as_long(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [1000.0]
-    for module in (clients, node, servers):
+    for module in (client_connections, node, server_connections):
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
     last: dict[asyncio.StreamWriter, float] = {}
 
@@ -698,7 +698,7 @@
             client, answers = await stand.client(), []
             for _ in range(8):
                 for _ in range(8):
-                    clock[0] += servers.REST
+                    clock[0] += server_connections.REST
                     answers.append((await client.ask(request("pay")))[0])
                 clock[0] += 500
             assert answers.count(502) == 3
@@ -766,7 +766,7 @@
 
 
 def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "REQUEST_TIME", 0.05)
+    monkeypatch.setattr(client_connections, "REQUEST_TIME", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -785,8 +785,8 @@
 def test_a_connection_that_brings_no_proper_request_is_ended(
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "PROVE_TIME", 0.05)
-    monkeypatch.setattr(clients, "LOOK", 0.02)
+    monkeypatch.setattr(client_connections, "PROVE_TIME", 0.05)
+    monkeypatch.setattr(client_connections, "LOOK", 0.02)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -818,7 +818,7 @@
 def test_a_client_that_writes_slowly_outlives_silent_stopped_and_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "STOPPED", 1.0)
+    monkeypatch.setattr(client_connections, "STOPPED", 1.0)
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -19,9 +19,9 @@
 import uvloop
 
 from tests.net import WAIT, Agent, Client, Peer, Script, answer_ok, field, request
-from tests.test_wire import SETTINGS
+from tests.test_simulator_wire import SETTINGS
 
-COMMAND = [sys.executable, "-B", "-m", "badgercart"]
+COMMAND = [sys.executable, "-B", "-m", "flaxstep.proxy"]
 
 
 def raw_config() -> dict[str, Any]:
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -10,12 +10,12 @@
 from click.testing import CliRunner, Result
 
 from flaxstep.cli import main
-from releases.acts import Act, Do, Standing
-from releases.acts import Result as Came
-from releases.farm import read_farm
-from releases.release import Release, State
-from releases.rim.controller import open_release
-from releases.rim.store import Store, StoreError
+from flaxstep.rollout.actions import Act, Do, Standing
+from flaxstep.rollout.actions import Result as Came
+from flaxstep.rollout.farm import read_farm
+from flaxstep.rollout.io.controller import open_release
+from flaxstep.rollout.io.store import Store, StoreError
+from flaxstep.rollout.release import Release, State
 from tests.farms import plan
 
 FARM = """
--- a/tests/test_release_course.py
+++ b/tests/test_release_course.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from releases.release import Release, State
-from releases.rim.store import ClaimLost, Store, StoreError
+from flaxstep.rollout.io.store import ClaimLost, Store, StoreError
+from flaxstep.rollout.release import Release, State
 from tests.farms import FakeFarm, Run, plan
 
 KINDS = ("servers", "nodes")
@@ -191,7 +191,7 @@
     first.take_claim()
     with pytest.raises(StoreError, match="acts on this farm"):
         second.take_claim()
-    monkeypatch.setattr("releases.rim.store.LEASE", 0.0)  # the first was stopped for long
+    monkeypatch.setattr("flaxstep.rollout.io.store.LEASE", 0.0)  # the first was stopped for long
     second.take_claim()
     assert not first.holds() and second.holds()
     with pytest.raises(ClaimLost):
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks import releases
-from releases.judge import Finding, Judge, Seen
+from flaxstep.rollout.canary_analysis import Finding, Judge, Seen
 
 COUNT = 120
 
--- a/tests/test_release_lab.py
+++ b/tests/test_release_lab.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.release_lab import play
-from releases.release import State
+from flaxstep.rollout.release import State
 
 
 def test_a_release_of_a_drawn_farm_goes_through_and_no_cold_server_falls() -> None:
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from releases.farm import Farm, NodeLine
-from releases.rim import http
-from releases.rim.look import look
-from releases.view import View
+from flaxstep.rollout.farm import Farm, NodeLine
+from flaxstep.rollout.io import http_client
+from flaxstep.rollout.io.snapshot_collector import look
+from flaxstep.rollout.snapshot import View
 
 STATS = "edge_router.results.build.succeeded:7|c\nedge_router.results.build.declined:2|c\n"
 STATS += "edge_router.results.build.aborted:1|c\nedge_router.outstanding:3|g"
@@ -97,7 +97,7 @@
         server = await asyncio.start_server(lambda *_: asyncio.sleep(5), "127.0.0.1", 0)
         place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
-            return await http.text(place, "GET", "/admin/health", seconds=0.05)
+            return await http_client.text(place, "GET", "/admin/health", seconds=0.05)
         finally:
             server.close()
 
--- a/tests/test_release_plan.py
+++ b/tests/test_release_plan.py
@@ -8,7 +8,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from releases.plan import Member, Plan, PlanError, Room, Waves, at_once, command, parse_plan, read_plan, waves
+from flaxstep.rollout.plan import (
+    Member,
+    Plan,
+    PlanError,
+    Room,
+    Waves,
+    at_once,
+    command,
+    parse_plan,
+    read_plan,
+    waves,
+)
 
 GOOD = """
 name = "job server 2.4"
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from flaxstep.rig.child import Child
-from flaxstep.rig.staff import Staff, run_controller
-from flaxstep.rig.stage import Stage
-from releases.acts import Phase, Standing
-from releases.farm import read_farm
-from releases.release import Release, State
-from releases.rim.store import LEASE, Kept, Store
+from flaxstep.faultbench.child_process import Child
+from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.operators import Staff, run_controller
+from flaxstep.rollout.actions import Phase, Standing
+from flaxstep.rollout.farm import read_farm
+from flaxstep.rollout.io.store import LEASE, Kept, Store
+from flaxstep.rollout.release import Release, State
 from tests.rigs import NODE, ROOT, Played, rig
 
 VERSIONS = """
@@ -273,14 +273,20 @@
 
 def previous_node(folder: Path) -> str:
     """How to start the node as it was before its last change."""
-    words = ["git", "log", "-2", "--format=%H", "--", "badgercart", "cottonhall"]
-    before = subprocess.run(words, cwd=ROOT, capture_output=True, check=True, text=True).stdout.split()[-1]
+    places = ["flaxstep/proxy", "flaxstep/routing", "badgercart", "cottonhall"]  # the old layout last
+
+    def git(*words: str) -> bytes:
+        return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, check=True).stdout
+
+    before = git("log", "-2", "--format=%H", "--", *places).decode().split()[-1]
+    there = git("ls-tree", "--name-only", before, "--", *places).decode().split()
+    module = "badgercart"
+    if "flaxstep/proxy" in there:
+        there, module = ["flaxstep/__init__.py", *there], "flaxstep.proxy"
     folder.mkdir()
-    tar = subprocess.run(
-        ["git", "archive", before, "badgercart", "cottonhall"], cwd=ROOT, capture_output=True, check=True
-    )
-    subprocess.run(["tar", "-x", "-C", str(folder)], input=tar.stdout, check=True)
-    return f"cd {folder} && {NODE}"
+    tar = git("archive", before, *there)
+    subprocess.run(["tar", "-x", "-C", str(folder)], input=tar, check=True)
+    return f"cd {folder} && exec {sys.executable} -B -m {module}"
 
 
 def other_node(to_before: bool) -> Acts:
--- a/tests/test_rig_faults.py
+++ b/tests/test_rig_faults.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from flaxstep.rig.record import read_records
-from flaxstep.rig.stage import Stage
-from flaxstep.rig.story import FOREVER, Attempt, tell
+from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.records import read_records
+from flaxstep.faultbench.trace import FOREVER, Attempt, tell
 from tests.rigs import ROOT, Played, alive, rig
 
 BOTH = {"way": "both", "size": 1.0, "jitter": 0.0}
@@ -212,6 +212,6 @@
         pids = [
             pid for path in Path("/proc/self/task").glob("*/children") for pid in path.read_text().split()
         ]
-        return [pid for pid in pids if "flaxstep.rig" in Path(f"/proc/{pid}/cmdline").read_text()]
+        return [pid for pid in pids if "flaxstep.faultbench" in Path(f"/proc/{pid}/cmdline").read_text()]
 
     assert asyncio.run(test()) == []
--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from flaxstep.lab.draw import draw_plan
-from flaxstep.lab.scenario import read_scenario
-from flaxstep.rig.record import Answered, Asked, Began, Closed, Dealt, Ended, Happened, Record, Turn
-from flaxstep.rig.rules import lost, together
-from flaxstep.rig.stage import Stage
-from flaxstep.rig.story import tell
+from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.records import Answered, Asked, Began, Closed, Dealt, Ended, Happened, Record, Turn
+from flaxstep.faultbench.rule_checks import lost, together
+from flaxstep.faultbench.trace import tell
+from flaxstep.simulator.sampling import draw_plan
+from flaxstep.simulator.scenario import read_scenario
 from tests.rigs import ROOT, Played, rig
 
 
--- a/tests/test_rig_play.py
+++ b/tests/test_rig_play.py
@@ -3,15 +3,19 @@
 from __future__ import annotations
 
 import asyncio
+import json
+import socket
+import subprocess
+import sys
 from pathlib import Path
 
-from flaxstep.lab.draw import draw_plan
-from flaxstep.lab.scenario import read_scenario
-from flaxstep.rig.play import play
-from flaxstep.rig.record import read_records
-from flaxstep.rig.result import judge_play
-from flaxstep.rig.story import tell
-from tests.rigs import NODE, SMALL
+from flaxstep.faultbench.records import read_records
+from flaxstep.faultbench.result import judge_play
+from flaxstep.faultbench.runner import play
+from flaxstep.faultbench.trace import tell
+from flaxstep.simulator.sampling import draw_plan
+from flaxstep.simulator.scenario import read_scenario
+from tests.rigs import NODE, ROOT, SMALL
 
 LINKS = {
     "delay": "size = 20\njitter = 10",
@@ -66,3 +70,22 @@
     assert {"stopped", "goes on", "killed", "term", "clock", "disk", "down", "up", "quiesce yes"} <= done
     assert result.verdict.served > 0.3
     assert max(one.asked.at for one in story.tries.values()) > 4500
+
+
+def test_the_old_path_of_the_commands_leads_to_them() -> None:
+    """Release plans that were stored before the fault bench had its name call flaxstep/rig/hand.py."""
+    answered = []
+    for path in ("flaxstep/faultbench/commands.py", "flaxstep/rig/hand.py"):
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            place = f"127.0.0.1:{listener.getsockname()[1]}"
+            words = [sys.executable, "-B", str(ROOT / path), place, "restart", "s-99", "v2"]
+            process = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+            listener.settimeout(20.0)
+            connection, _ = listener.accept()
+            with connection, connection.makefile("rwb") as lines:
+                asked = json.loads(lines.readline())
+                lines.write(b'{"ok": false, "text": "no server s-99"}\n')
+                lines.flush()
+            out, errors = process.communicate(timeout=20.0)
+            answered.append((asked, process.returncode, out, errors))
+    assert answered == [(["restart", "s-99", "v2"], 1, "", "no server s-99\n")] * 2
--- a/tests/test_rig_report.py
+++ b/tests/test_rig_report.py
@@ -11,14 +11,14 @@
 from click.testing import CliRunner
 
 from flaxstep.cli import main
-from flaxstep.lab.draw import draw_plan
-from flaxstep.lab.judge import Verdict
-from flaxstep.lab.scenario import Act, ScenarioError, Trouble, parse_scenario, read_scenario
-from flaxstep.lab.world import Outcomes
-from flaxstep.rig.report import report
-from flaxstep.rig.result import Line, Result, Second
-from flaxstep.rig.rules import Breach
-from flaxstep.rig.timetable import Timetable
+from flaxstep.faultbench.report import report
+from flaxstep.faultbench.result import Line, Result, Second
+from flaxstep.faultbench.rule_checks import Breach
+from flaxstep.faultbench.schedule import Timetable
+from flaxstep.simulator.sampling import draw_plan
+from flaxstep.simulator.scenario import Act, ScenarioError, Trouble, parse_scenario, read_scenario
+from flaxstep.simulator.scoring import Verdict
+from flaxstep.simulator.simulation import Outcomes
 
 DEMO = Path(__file__).parent.parent / "scenarios" / "demo.toml"
 
--- a/tests/test_benchlink.py
+++ b/tests/test_simulator_adapter.py
@@ -8,16 +8,19 @@
 
 import pytest
 
-from cottonhall import benchlink
-from cottonhall.rules import Policy
-from tests.test_wire import EVENTS
+from flaxstep.routing import simulator_adapter
+from flaxstep.routing.policy import Policy
+from tests.test_simulator_wire import EVENTS
 
 EMPTY = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
 
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "cottonhall.benchlink"], input=data, capture_output=True, check=False
+        [sys.executable, "-B", "-m", "flaxstep.routing.simulator_adapter"],
+        input=data,
+        capture_output=True,
+        check=False,
     )
 
 
@@ -48,7 +51,7 @@
 
 
 def test_exception_in_the_module_is_reported_as_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
-    from tests.test_wire import SETTINGS, json, struct
+    from tests.test_simulator_wire import SETTINGS, json, struct
 
     def broken(self: Policy, now: float, event: object) -> list[object]:
         raise KeyError("broken on purpose")
@@ -59,7 +62,7 @@
     timer = b"\x07" + bytes(47)
     frame = struct.pack(">IIdI", 1, 164 + len(text), 1.0, 3) + EVENTS[20:68] + born + timer + text
     sink = io.BytesIO()
-    benchlink.serve(io.BytesIO(frame), sink)
+    simulator_adapter.serve(io.BytesIO(frame), sink)
     reply = sink.getvalue()
     assert reply[12 + 24] == 12
     assert b"KeyError: 'broken on purpose'" in reply
--- a/tests/test_wire.py
+++ b/tests/test_simulator_wire.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     Cancel,
     Effect,
     Fail,
@@ -25,7 +25,7 @@
     Wake,
     Withdrawn,
 )
-from cottonhall.wire import Born, Decoder, Encoder, Killed, WireError, read_settings
+from flaxstep.routing.simulator_wire import Born, Decoder, Encoder, Killed, WireError, read_settings
 
 EVENTS = bytes.fromhex(
     "0000000c 00000104 40c06e2000000000 00000005"
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from cottonhall.interface import (
+from flaxstep.routing.interface import (
     Effect,
     Group,
     ListKind,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flaxstep.cli_rig import NOT_RUN_PART, folder_for, run_soak
-from flaxstep.lab.draw import draw_plan
-from flaxstep.lab.scenario import Rules, parse_scenario
-from flaxstep.rig.record import Asked, Began, Happened, Record, Recorder, Told
-from flaxstep.rig.rules import Breach, told_out
-from flaxstep.rig.soak.draw import CALM_S, MOST_FAULTS, START_S, draw_play
-from flaxstep.rig.soak.run import SoakOutcome
-from flaxstep.rig.soak.timeline import report
-from flaxstep.rig.stage import build
-from flaxstep.rig.story import FOREVER, Attempt, tell
+from flaxstep.cli_faultbench import NOT_RUN_PART, folder_for, run_soak
+from flaxstep.faultbench.farm import build
+from flaxstep.faultbench.records import Asked, Began, Happened, Record, Recorder, Told
+from flaxstep.faultbench.rule_checks import Breach, told_out
+from flaxstep.faultbench.soak.runner import SoakOutcome
+from flaxstep.faultbench.soak.sampling import CALM_S, MOST_FAULTS, START_S, draw_play
+from flaxstep.faultbench.soak.timeline import report
+from flaxstep.faultbench.trace import FOREVER, Attempt, tell
+from flaxstep.simulator.sampling import draw_plan
+from flaxstep.simulator.scenario import Rules, parse_scenario
 
 PLAYS, SECONDS = 6, 10.0
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 import pytest
 import uvloop
 
-from badgercart.node import room
+from flaxstep.proxy.node import room
 from tests.net import WAIT, Agent, Client, Peer, request, running
 from tests.test_admin import DOOR, HEALTH, until
 from tests.test_node import run
--- a/tests/test_wallclock.py
+++ b/tests/test_wall_clock.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from badgercart.clients import stable_id
-from badgercart.handover import Handover, Shared
-from badgercart.memberlist import MemberListReader
-from badgercart.wallclock import WallClock
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.member_list import MemberListReader
+from flaxstep.proxy.shared_state import Handover, Shared
+from flaxstep.proxy.wall_clock import WallClock
 
 HOUR = 3_600_000.0
 
