--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -26,8 +26,8 @@
 from flaxstep.simulator.runner import HERE, player
 from flaxstep.simulator.scenario import Scenario, read_scenario
 from flaxstep.simulator.scheduled_events import begin
-from flaxstep.simulator.simulation import World
-from flaxstep.simulator.staged_rollout import LabRelease
+from flaxstep.simulator.simulation import Simulation
+from flaxstep.simulator.staged_rollout import SimulatedRollout
 
 SCENARIO = Path(__file__).resolve().parents[1] / "scenarios" / "release.toml"
 VERSIONS = {
@@ -82,9 +82,9 @@
 def play(seed: int, version: str, until: float = float("inf"), servers: int = 0) -> Outcome:
     """A release on a seed's farm; `until`: what is asked for later does not count."""
     module = player(HERE)
-    world = World(drawn(seed, servers), seed, module.make, module.knows)
+    world = Simulation(drawn(seed, servers), seed, module.make, module.knows)
     chance = Streams(seed).chance("release")
-    release = LabRelease(world, plan_for(max(1, servers // 10)), VERSIONS[version], chance)
+    release = SimulatedRollout(world, plan_for(max(1, servers // 10)), VERSIONS[version], chance)
     if until == float("inf"):
         release.at_over = world.clients.stop
     else:
--- a/benchmarks/release_rig.py
+++ b/benchmarks/release_rig.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from flaxstep.faultbench.farm import Stage, build
-from flaxstep.faultbench.operators import Staff, run_controller
+from flaxstep.faultbench.farm import Farm, build
+from flaxstep.faultbench.operators import OperatorCommands, run_controller
 from flaxstep.faultbench.result import Result, judge_play
 from flaxstep.simulator.scenario import read_scenario
 
@@ -98,11 +98,11 @@
     path.write_text(FARM)
     scenario = read_scenario(path)
     code, ended = 0, float(LENGTH)
-    async with Stage(scenario, path, seed, folder / "play") as stage:
+    async with Farm(scenario, path, seed, folder / "play") as stage:
         await stage.open()
         await stage.begin()
         if release:
-            staff = Staff(stage)
+            staff = OperatorCommands(stage)
             await staff.open()
             (folder / "plan.toml").write_text(PLAN + staff.commands("servers"))
             log = folder / "controller.log"
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -15,7 +15,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from flaxstep.rollout.canary_analysis import Finding, Judge, Seen
+from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Seen
 
 FALSE_HALT, FAILURES, SLOWER = 0.01, 0.002, 1.1
 BAKE, MARK = 30, 0.75  # looks after each wave; the quantile of a member's answers that is its mark
@@ -101,7 +101,7 @@
 def release(seed: int, version: str) -> Outcome:
     """One drawn release: a canary, then shares, each watched for a while."""
     farm = Farm.draw(np.random.default_rng([seed, VERSIONS.index(version)]))
-    n, judge, outcome = len(farm.rate), Judge(FALSE_HALT, FAILURES), Outcome()
+    n, judge, outcome = len(farm.rate), CanaryAnalysis(FALSE_HALT, FAILURES), Outcome()
     order = farm.generator.permutation(n)
     sizes = [1] + [max(1, round(share * n)) for share in SHARES]
     answered = 0.0
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -20,8 +20,8 @@
 import msgspec
 import uvloop
 
-from flaxstep.faultbench.child_process import ROOT, Child
-from flaxstep.faultbench.farm import Stage, build, claim
+from flaxstep.faultbench.child_process import ROOT, ChildProcess
+from flaxstep.faultbench.farm import Farm, build, claim
 from flaxstep.faultbench.result import judge_play
 from flaxstep.faultbench.runner import play
 from flaxstep.simulator.scenario import read_scenario
@@ -76,7 +76,7 @@
     }  # fmt: skip
     config = {"seed": 1, "t0": time.monotonic(), "record": str(folder / "links.jsonl")}
     config |= {"links": [spec], "down": []}
-    child = await Child.stand_in("links", "links", config, folder)
+    child = await ChildProcess.stand_in("links", "links", config, folder)
     added, used = [], []
     for _ in range(PAIRS):
         direct = await rounds(host, 3)
@@ -95,7 +95,7 @@
     took = []
     for i in range(5):
         begun = time.monotonic()
-        async with Stage(scenario, Path(), i, folder / f"start-{i}") as stage:
+        async with Farm(scenario, Path(), i, folder / f"start-{i}") as stage:
             await stage.open(clients=False)
             took.append(time.monotonic() - begun)
             count = len(stage.children)
--- a/flaxstep/cli.py
+++ b/flaxstep/cli.py
@@ -14,7 +14,7 @@
 
 from flaxstep.cli_faultbench import demo_command, load_command, rig
 from flaxstep.cli_release import release
-from flaxstep.command_error import Refusal
+from flaxstep.command_error import CommandError
 from flaxstep.simulator.runner import NotPlayable, encode, play_with
 from flaxstep.simulator.scenario import ScenarioError, read_scenario
 from flaxstep.simulator.simulation import Run
@@ -55,9 +55,9 @@
         if out is not None:
             out.write_bytes(encode(run))
     except (ScenarioError, NotPlayable) as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
     except OSError as error:
-        raise Refusal(f"{error.filename}: {error.strerror}") from None
+        raise CommandError(f"{error.filename}: {error.strerror}") from None
     show(run)
     sys.exit(1 if run.verdict.breaches else 0)
 
--- a/flaxstep/cli_faultbench.py
+++ b/flaxstep/cli_faultbench.py
@@ -15,9 +15,9 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
-from flaxstep.command_error import Refusal
+from flaxstep.command_error import CommandError
 from flaxstep.faultbench.child_process import ROOT
-from flaxstep.faultbench.fake_service import RigError
+from flaxstep.faultbench.fake_service import FaultBenchError
 from flaxstep.faultbench.farm import build
 from flaxstep.faultbench.load_generator import (
     Order,
@@ -165,8 +165,8 @@
             seed=seed,
             poisson=not even,
         )
-    except RigError as error:
-        raise Refusal(str(error)) from None
+    except FaultBenchError as error:
+        raise CommandError(str(error)) from None
     summary = run_load(order)
     if as_json:
         click.echo(msgspec.json.encode(summary))
@@ -193,10 +193,10 @@
         if out is None:
             return new_folder(name, seed)
         if out.exists() and (not out.is_dir() or any(out.iterdir())):
-            raise Refusal(f"{out}: exists already; name an empty folder")
+            raise CommandError(f"{out}: exists already; name an empty folder")
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise Refusal(f"{error.filename}: {error.strerror}") from None
+        raise CommandError(f"{error.filename}: {error.strerror}") from None
     return out.resolve()
 
 
@@ -232,8 +232,8 @@
                     bar.console.print(f"{played:5.1f} s  {what}")
 
             asyncio.run(play(scenario, path.resolve(), seed, folder, show))
-    except (ScenarioError, RigError) as error:
-        raise Refusal(str(error)) from None
+    except (ScenarioError, FaultBenchError) as error:
+        raise CommandError(str(error)) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
         click.echo("flaxstep: ended before the play was over; its processes are ended too", err=True)
         sys.exit(ENDED)
--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -16,11 +16,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from flaxstep.command_error import Refusal
+from flaxstep.command_error import CommandError
 from flaxstep.rollout.actions import Phase
 from flaxstep.rollout.farm import Farm, read_farm
 from flaxstep.rollout.io.controller import Controller, members_of, open_release
-from flaxstep.rollout.io.snapshot_collector import look
+from flaxstep.rollout.io.snapshot_collector import collect_snapshot
 from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
 from flaxstep.rollout.limits import unfit
 from flaxstep.rollout.plan import Plan, PlanError, at_once, read_plan, waves
@@ -50,7 +50,7 @@
     try:
         yield
     except (PlanError, StoreError) as error:
-        raise Refusal(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 @release.command("check")
@@ -94,7 +94,7 @@
 
 async def survey(farm: Farm, plan: Plan) -> Survey:
     members = await members_of(farm, plan)
-    view = await look(farm, clock())
+    view = await collect_snapshot(farm, clock())
     whole = sum(member.size for member in members)
     lines, reasons = [], [reason] if (reason := unfit(view, plan, None)) else []
     for number, wave in enumerate(waves(plan, members), 1):
@@ -285,7 +285,7 @@
         store, kept = newest(farm_path)
         try:
             if kept.ended is not None:
-                raise Refusal(f"release {kept.id} is over: {kept.release.state.value}")
+                raise CommandError(f"release {kept.id} is over: {kept.release.state.value}")
             number, end = store.leave_order(kept.id, what), time.monotonic() + ORDER_TIME
             if not store.holder():
                 click.echo(f"{what}: kept; no controller runs, 'flaxstep release run' carries it out")
@@ -295,9 +295,9 @@
         finally:
             store.close()
     if said is None:
-        raise Refusal(f"{what}: the controller has not answered within {ORDER_TIME:g} s")
+        raise CommandError(f"{what}: the controller has not answered within {ORDER_TIME:g} s")
     if said:
-        raise Refusal(f"{what}: no, {said}")
+        raise CommandError(f"{what}: no, {said}")
     click.echo(f"{what}: done")
 
 
@@ -330,7 +330,9 @@
         store, kept = newest(farm_path)
         try:
             if kept.ended is None and kept.release.state not in (State.HALTED, State.GAVE_UP):
-                raise Refusal(f"release {kept.id} is {kept.release.state.value}: pause it, or call it back")
+                raise CommandError(
+                    f"release {kept.id} is {kept.release.state.value}: pause it, or call it back"
+                )
             store.take_claim()
             store.end(kept.id, kept.release, kept.members)
             store.leave_claim()
--- a/flaxstep/command_error.py
+++ b/flaxstep/command_error.py
@@ -5,7 +5,7 @@
 import click
 
 
-class Refusal(click.ClickException):
+class CommandError(click.ClickException):
     """What was asked can't be done: one line, exit code 2."""
 
     exit_code = 2
--- a/flaxstep/faultbench/child_process.py
+++ b/flaxstep/faultbench/child_process.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from typing import Any
 
-from flaxstep.faultbench.fake_service import RigError
+from flaxstep.faultbench.fake_service import FaultBenchError
 from flaxstep.rollout.io.child_processes import end_with
 
 ROOT = Path(__file__).resolve().parents[2]
 READY_TIME, CALL_TIME = 20.0, 10.0  # s
 
 
-class Child:
+class ChildProcess:
     """One process. `log` takes what it writes to standard error."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
@@ -30,7 +30,7 @@
     @classmethod
     async def start(
         cls, name: str, command: list[str], log: Path, environment: Mapping[str, str] | None = None
-    ) -> Child:
+    ) -> ChildProcess:
         parent = os.getpid()
         with log.open("ab") as errors:
             process = await asyncio.create_subprocess_exec(
@@ -47,7 +47,7 @@
         return cls(name, process)
 
     @classmethod
-    async def stand_in(cls, name: str, module: str, config: dict[str, Any], folder: Path) -> Child:
+    async def stand_in(cls, name: str, module: str, config: dict[str, Any], folder: Path) -> ChildProcess:
         """A stand-in of ours, once it says that it is ready."""
         path = folder / f"{name}.json"
         path.write_text(json.dumps(config))
@@ -56,7 +56,7 @@
         child = await cls.start(name, command, folder / f"{name}.log", environment)
         try:
             if not (await child.line(READY_TIME)).get("ready"):
-                raise RigError(f"{name}: did not start; see {folder / f'{name}.log'}")
+                raise FaultBenchError(f"{name}: did not start; see {folder / f'{name}.log'}")
         except BaseException:  # nobody else knows of it yet
             await child.end()
             raise
@@ -68,20 +68,20 @@
             async with asyncio.timeout(seconds):
                 text = await self.process.stdout.readline()
         except TimeoutError:
-            raise RigError(f"{self.name}: no answer within {seconds:g} s") from None
+            raise FaultBenchError(f"{self.name}: no answer within {seconds:g} s") from None
         if not text:
-            raise RigError(f"{self.name}: has ended; its log says why")
+            raise FaultBenchError(f"{self.name}: has ended; its log says why")
         answer: dict[str, Any] = json.loads(text)
         return answer
 
     async def call(self, do: str, **arguments: Any) -> Any:
-        """A call to a stand-in, and what it returns; RigError with its reason if it could not."""
+        """A call to a stand-in, and what it returns; FaultBenchError with its reason if it could not."""
         assert self.process.stdin is not None
         async with self._calls:
             self.process.stdin.write(json.dumps({"do": do} | arguments).encode() + b"\n")
             answer = await self.line(CALL_TIME)
         if "error" in answer:
-            raise RigError(f"{self.name}: {do}: {answer['error']}")
+            raise FaultBenchError(f"{self.name}: {do}: {answer['error']}")
         return answer.get("result")
 
     @property
--- a/flaxstep/faultbench/clients.py
+++ b/flaxstep/faultbench/clients.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from flaxstep.faultbench.fake_service import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
 from flaxstep.faultbench.records import Answered, Asked, Recorder
 from flaxstep.simulator.engine import Streams
 from flaxstep.simulator.sampling import Plan, draw_plan
@@ -54,7 +54,7 @@
         self.connection: Connection | None = None
 
 
-class Clients(StandIn):
+class Clients(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.recorder, self.loop = recorder, loop
         self.scenario: Scenario = read_scenario(Path(config["scenario"]))
--- a/flaxstep/faultbench/discovery_service.py
+++ b/flaxstep/faultbench/discovery_service.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from flaxstep.faultbench.fake_service import StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import FakeService, Tasks, loopback, run
 from flaxstep.faultbench.forwarder import reset
 from flaxstep.faultbench.records import Happened, Recorder, Told
 from flaxstep.simulator.engine import Streams
@@ -32,7 +32,7 @@
 HANG = 3600.0  # s
 
 
-class Listing(StandIn):
+class Listing(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.recorder, self.loop = config, recorder, loop
         self.version: int = config["version"]
--- a/flaxstep/faultbench/fake_service.py
+++ b/flaxstep/faultbench/fake_service.py
@@ -21,7 +21,7 @@
 Address = tuple[str, int]
 
 
-class RigError(Exception):
+class FaultBenchError(Exception):
     """What the rig can't do, in one line."""
 
 
@@ -32,7 +32,7 @@
     except ValueError:
         ours = False
     if not ours:
-        raise RigError(f"{host}: not a loopback address (127.0.0.0/8); the rig talks to nothing else")
+        raise FaultBenchError(f"{host}: not a loopback address (127.0.0.0/8); the rig talks to nothing else")
     return host
 
 
@@ -63,7 +63,7 @@
         task.add_done_callback(self.discard)
 
 
-class StandIn(Protocol):
+class FakeService(Protocol):
     """A stand-in: `start` makes it ready; its calls are methods named `do_NAME` that return what JSON can
     say."""
 
@@ -73,7 +73,7 @@
         """The play has begun: the clock stands at 0."""
 
 
-Make = Callable[[dict[str, Any], Recorder, asyncio.AbstractEventLoop], StandIn]
+Make = Callable[[dict[str, Any], Recorder, asyncio.AbstractEventLoop], FakeService]
 
 
 def run(make: Make) -> None:
--- a/flaxstep/faultbench/farm.py
+++ b/flaxstep/faultbench/farm.py
@@ -1,6 +1,6 @@
 """The stage: starts a farm's processes, does to them what is asked, and ends every one of them.
 
-async with Stage(scenario, path, seed, folder) as stage:
+async with Farm(scenario, path, seed, folder) as stage:
     await stage.open()              # all is ready; the play has not begun
     await stage.begin()             # clients come from now on
     await stage.fault(1, spec)      # and so on, or play the timetable
@@ -25,13 +25,13 @@
 import msgspec
 
 from flaxstep.faultbench.admin_client import call_door
-from flaxstep.faultbench.child_process import ROOT, Child, shell_command
-from flaxstep.faultbench.fake_service import Address, RigError, Tasks
+from flaxstep.faultbench.child_process import ROOT, ChildProcess, shell_command
+from flaxstep.faultbench.fake_service import Address, FaultBenchError, Tasks
 from flaxstep.faultbench.farm_config import (
     DOORS,
     DOORS_EACH,
     FRONTS,
-    Ways,
+    FarmLinks,
     entry,
     front_config,
     list_config,
@@ -50,27 +50,27 @@
 SHIM = Path(__file__).parent / "shim"
 
 
-class Stage:
+class Farm:
     def __init__(self, scenario: Scenario, path: Path, seed: int, folder: Path, run: str = "") -> None:
         """`run` is the command that starts a node, by default the deploy file's."""
         self.scenario, self.path, self.seed, self.folder = scenario, path, seed, folder
         self.plan: Plan = draw_plan(scenario, seed)
         self.run = run or str(deploy()["run"])
-        self.children: dict[str, Child] = {}
+        self.children: dict[str, ChildProcess] = {}
         self.doors: dict[str, Address] = {}  # of the newest process of each node
-        self.by_door: dict[Address, tuple[Child, str]] = {}  # the last process there, and its version
+        self.by_door: dict[Address, tuple[ChildProcess, str]] = {}  # the last process there, and its version
         self.starts: dict[str, int] = {}
-        self.leaving: list[Child] = []  # processes that were told to end
+        self.leaving: list[ChildProcess] = []  # processes that were told to end
         self.versions = {s: scenario.rig.version for s in range(len(self.plan.servers))}
         self.claim, self.host = claim()
-        self.ways = Ways(scenario, self.plan, self.host)
+        self.ways = FarmLinks(scenario, self.plan, self.host)
         self.t0 = time.monotonic() + BEFORE
         folder.mkdir(parents=True, exist_ok=True)
         self.recorder = Recorder(folder / "rig.jsonl", self.t0)
         self.seeds = random.Random(seed)
         self.tasks = Tasks()
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> Farm:
         return self
 
     async def __aexit__(
@@ -115,14 +115,14 @@
         for child in self.stand_ins():
             await child.call("begin", t0=self.t0)
 
-    def stand_ins(self) -> list[Child]:
+    def stand_ins(self) -> list[ChildProcess]:
         return [child for name, child in self.children.items() if not name.startswith("node:")]
 
     async def stand_in(self, name: str, module: str, config: dict[str, Any]) -> None:
         self.starts[name] = self.starts.get(name, 0) + 1
         plain = name.replace(":", "-")
         shared = {"t0": self.t0, "seed": self.seed, "record": str(self.folder / f"{plain}.jsonl")}
-        self.children[name] = await Child.stand_in(plain, module, shared | config, self.folder)
+        self.children[name] = await ChildProcess.stand_in(plain, module, shared | config, self.folder)
         self.note("started", name)
 
     async def start_server(self, server: int, cold: bool) -> None:
@@ -145,9 +145,9 @@
         elif kind == "node":
             await self.start_node(name, keep)
         else:
-            raise RigError(f"{name}: only nodes and servers are started again")
+            raise FaultBenchError(f"{name}: only nodes and servers are started again")
 
-    async def start_node(self, name: str, keep: bool = True) -> Child:
+    async def start_node(self, name: str, keep: bool = True) -> ChildProcess:
         child, door, log = await self.launch_node(name, keep)
         await self.ready(child, door, log)
         self.note("ready", name)
@@ -166,7 +166,7 @@
 
     async def launch_node(
         self, name: str, keep: bool = True, door: Address | None = None, run: str = "", version: str = ""
-    ) -> tuple[Child, Address, Path]:
+    ) -> tuple[ChildProcess, Address, Path]:
         """A process of a node, not yet ready; with its door and its log."""
         node, count = int(name.partition(":")[2]), self.starts.get(name, 0)
         self.starts[name] = count + 1
@@ -185,7 +185,7 @@
             self.write_shim(name)
             environment |= {"PYTHONPATH": str(SHIM), "RIG_SHIM": str(self.shim(name))}
         log = self.folder / f"node-{node}-{count}.log"
-        child = await Child.start(name, shell_command(run or self.run), log, environment)
+        child = await ChildProcess.start(name, shell_command(run or self.run), log, environment)
         if name in self.children:
             self.leaving.append(self.children[name])
         self.children[name], self.doors[name] = child, door
@@ -205,11 +205,11 @@
                     self.leaving.append(child)
                     self.children[name], self.doors[name] = process, other
 
-    async def ready(self, child: Child, door: Address, log: Path) -> None:
+    async def ready(self, child: ChildProcess, door: Address, log: Path) -> None:
         end = time.monotonic() + READY_TIME
         while (await call_door(door, "GET", "health"))[0] != 200:
             if not child.alive or time.monotonic() > end:
-                raise RigError(f"{child.name}: did not become ready; see {log}")
+                raise FaultBenchError(f"{child.name}: did not become ready; see {log}")
             await asyncio.sleep(0.03)
 
     async def upgrade(self, node: int) -> None:
@@ -220,7 +220,7 @@
         await self.start_node(name)
         self.leave_node(name, old)
 
-    async def see_off(self, child: Child) -> None:
+    async def see_off(self, child: ChildProcess) -> None:
         await asyncio.sleep(min(3.0, max(c.deadline_ms for c in self.scenario.classes) / 1000) + 0.7)
         await child.end()
 
@@ -369,7 +369,7 @@
             held.close()
             continue
         return held, host
-    raise RigError("no loopback address is free")
+    raise FaultBenchError("no loopback address is free")
 
 
 def deploy() -> dict[str, Any]:
@@ -380,4 +380,4 @@
     """What the deploy file's nodes need, made where it is missing."""
     done = subprocess.run(shell_command(deploy()["build"]), cwd=ROOT, capture_output=True, check=False)
     if done.returncode:
-        raise RigError(f"build: {done.stderr.decode(errors='replace').strip().splitlines()[-1:]}")
+        raise FaultBenchError(f"build: {done.stderr.decode(errors='replace').strip().splitlines()[-1:]}")
--- a/flaxstep/faultbench/farm_config.py
+++ b/flaxstep/faultbench/farm_config.py
@@ -8,7 +8,7 @@
 
 from flaxstep.faultbench.fake_service import Address
 from flaxstep.simulator.config_types import Range
-from flaxstep.simulator.fault_config import Rigging
+from flaxstep.simulator.fault_config import FaultConfig
 from flaxstep.simulator.sampling import Plan
 from flaxstep.simulator.scenario import Scenario
 
@@ -96,7 +96,7 @@
     return found
 
 
-class Ways:
+class FarmLinks:
     """Every link of a farm: who calls whom, where the caller finds it, and where it leads."""
 
     def __init__(self, scenario: Scenario, plan: Plan, host: str) -> None:
@@ -120,7 +120,7 @@
         ]
 
     def link(self, caller: str, callee: str, port: int, noted: bool = False) -> Address:
-        rig: Rigging = self.rig
+        rig: FaultConfig = self.rig
         listens = (self.host, LINKS + len(self.links))
         ends = [names(name, self.plan, rig.regions) for name in (caller, callee)]
         zones = [{name for name in end if name.startswith("zone:")} for end in ends]
@@ -168,7 +168,7 @@
     return sum(value) / 2 if isinstance(value, tuple) else value
 
 
-def node_config(scenario: Scenario, plan: Plan, ways: Ways, node: int, seed: int) -> dict[str, Any]:
+def node_config(scenario: Scenario, plan: Plan, ways: FarmLinks, node: int, seed: int) -> dict[str, Any]:
     """The file that a node reads at its start."""
     rig = scenario.rig
     host, port = ways.to_lists[node]
@@ -183,14 +183,14 @@
     }
 
 
-def instances(scenario: Scenario, plan: Plan, ways: Ways, node: int) -> list[dict[str, Any]]:
+def instances(scenario: Scenario, plan: Plan, ways: FarmLinks, node: int) -> list[dict[str, Any]]:
     return [
         entry(scenario, plan, server, "active", 0) | {"hostPort": f"{host}:{port}"}
         for server, (host, port) in enumerate(ways.to_servers[node])
     ]
 
 
-def list_config(scenario: Scenario, plan: Plan, ways: Ways) -> dict[str, Any]:
+def list_config(scenario: Scenario, plan: Plan, ways: FarmLinks) -> dict[str, Any]:
     figures = plan.figures
     return {
         "host": ways.host,
@@ -207,7 +207,7 @@
     }
 
 
-def front_config(scenario: Scenario, plan: Plan, ways: Ways) -> dict[str, Any]:
+def front_config(scenario: Scenario, plan: Plan, ways: FarmLinks) -> dict[str, Any]:
     return {
         "host": ways.host,
         "ports": [FRONTS + zone for zone in range(scenario.fleet.zones)],
--- a/flaxstep/faultbench/frontend_balancer.py
+++ b/flaxstep/faultbench/frontend_balancer.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from typing import Any
 
-from flaxstep.faultbench.fake_service import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
 from flaxstep.faultbench.forwarder import Pair, listener, waiting
 from flaxstep.faultbench.records import Believed, Dealt, Recorder
 
@@ -21,7 +21,7 @@
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n"
 
 
-class Front(StandIn):
+class Front(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.recorder, self.loop = config, recorder, loop
         self.nodes: list[Address] = [(loopback(host), port) for host, port in config["nodes"]]
--- a/flaxstep/faultbench/job_server.py
+++ b/flaxstep/faultbench/job_server.py
@@ -15,12 +15,12 @@
 
 import httptools
 
-from flaxstep.faultbench.fake_service import Address, RealEngine, StandIn, loopback, run
+from flaxstep.faultbench.fake_service import Address, FakeService, RealEngine, loopback, run
 from flaxstep.faultbench.forwarder import reset
 from flaxstep.faultbench.records import Began, Ended, Fell, Held, Recorder
 from flaxstep.routing.interface import Result
 from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import TICK, Attempt, ChokePlan, Server, ServerPlan, Tally
+from flaxstep.simulator.job_servers import TICK, Attempt, ChokePlan, Server, ServerPlan, WorkTotals
 from flaxstep.simulator.sampling import lognormal
 
 SAMPLE = 0.25  # s
@@ -38,14 +38,14 @@
         """Outcomes go back over the connection."""
 
 
-class JobServer(StandIn):
+class JobServer(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.recorder, self.loop = config, recorder, loop
         self.number: int = config["server"]["number"]
         self.name, self.version = config["name"], config["version"]
         self.address: Address = (loopback(config["host"]), config["port"])
         self.rack: list[Address] = [tuple(address) for address in config["rack"]]
-        self.engine, self.tally = RealEngine(loop, recorder), Tally()
+        self.engine, self.tally = RealEngine(loop, recorder), WorkTotals()
         streams = Streams(config["seed"])
         self.server = Server(
             cast(Engine, self.engine),
--- a/flaxstep/faultbench/links.py
+++ b/flaxstep/faultbench/links.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 from typing import Any
 
-from flaxstep.faultbench.fake_service import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
 from flaxstep.faultbench.forwarder import CLEAR, Effect, Pair, Side, listener, waiting
 from flaxstep.faultbench.records import Closed, Disturbed, Recorder, Turn
 from flaxstep.simulator.engine import Streams
@@ -201,7 +201,7 @@
             link.pairs.discard(self)
 
 
-class Links(StandIn):
+class Links(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.recorder, self.loop = recorder, loop
         self.chance: Callable[[], float] = Streams(config["seed"]).chance("links")
--- a/flaxstep/faultbench/load_generator.py
+++ b/flaxstep/faultbench/load_generator.py
@@ -19,7 +19,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from flaxstep.faultbench.fake_service import Address, RigError, loopback
+from flaxstep.faultbench.fake_service import Address, FaultBenchError, loopback
 
 MOST_RATE, MOST_SECONDS, MOST_REQUESTS = 50_000.0, 3600.0, 5_000_000
 MOST_CONNECTIONS = 10_000
@@ -85,14 +85,14 @@
 
 
 def parse_target(url: str) -> Address:
-    """host and port of an http:// URL on this machine's loopback; RigError for anything else."""
+    """host and port of an http:// URL on this machine's loopback; FaultBenchError for anything else."""
     parts = urlsplit(url if "//" in url else f"//{url}", scheme="http")
     try:
         port = parts.port
     except ValueError:
         port = None
     if parts.scheme != "http" or not parts.hostname or port is None or parts.path.strip("/"):
-        raise RigError(f"{url}: not http://HOST:PORT")
+        raise FaultBenchError(f"{url}: not http://HOST:PORT")
     return loopback(parts.hostname), port
 
 
@@ -105,7 +105,7 @@
     except ValueError:
         part = -1.0
     if not name or not equals or effect not in EFFECTS or not 0 < part < float("inf") or not name.isascii():
-        raise RigError(f"{text}: not NAME=EFFECT[:SHARE], with an effect of {', '.join(EFFECTS)}")
+        raise FaultBenchError(f"{text}: not NAME=EFFECT[:SHARE], with an effect of {', '.join(EFFECTS)}")
     return LoadClass(name, effect, part)
 
 
@@ -117,13 +117,13 @@
         try:
             steps.append(Step(float(rate), float(seconds)))
         except ValueError:
-            raise RigError(f"{text}: not RATE:SECONDS[,RATE:SECONDS...]") from None
+            raise FaultBenchError(f"{text}: not RATE:SECONDS[,RATE:SECONDS...]") from None
     if any(not 0 <= step.rate <= MOST_RATE or not 0 < step.seconds <= MOST_SECONDS for step in steps):
-        raise RigError(f"{text}: at most {MOST_RATE:g} a second and {MOST_SECONDS:g} s")
+        raise FaultBenchError(f"{text}: at most {MOST_RATE:g} a second and {MOST_SECONDS:g} s")
     if sum(step.seconds for step in steps) > MOST_SECONDS:
-        raise RigError(f"{text}: more than {MOST_SECONDS:g} s in all")
+        raise FaultBenchError(f"{text}: more than {MOST_SECONDS:g} s in all")
     if sum(step.rate * step.seconds for step in steps) > MOST_REQUESTS:
-        raise RigError(f"{text}: more than {MOST_REQUESTS} requests")
+        raise FaultBenchError(f"{text}: more than {MOST_REQUESTS} requests")
     return steps
 
 
--- a/flaxstep/faultbench/operators.py
+++ b/flaxstep/faultbench/operators.py
@@ -15,9 +15,9 @@
 from datetime import datetime
 from pathlib import Path
 
-from flaxstep.faultbench.child_process import Child, shell_command
-from flaxstep.faultbench.fake_service import RigError, loopback
-from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.child_process import ChildProcess, shell_command
+from flaxstep.faultbench.fake_service import FaultBenchError, loopback
+from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import Happened
 from flaxstep.rollout.io.http_client import text
 
@@ -34,10 +34,10 @@
 Do = Callable[..., Awaitable[str]]
 
 
-class Staff:
+class OperatorCommands:
     """`hang`: commands whose calls are never answered; `runs`: what starts a node's process, by version."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Farm) -> None:
         self.stage = stage
         self.hang: set[tuple[str, ...]] = set()
         self.runs: dict[str, str] = {}
@@ -99,7 +99,7 @@
                 await reader.read()  # until the command is killed
                 return
             answer = {"ok": True, "text": await self.doing[do](*arguments)}
-        except (RigError, ValueError, KeyError) as error:
+        except (FaultBenchError, ValueError, KeyError) as error:
             answer = {"ok": False, "text": str(error)}
         finally:
             writer.write(json.dumps(answer).encode() + b"\n")
@@ -142,14 +142,14 @@
     async def version(self, name: str) -> str:
         server = int(name.removeprefix("s-"))
         if not self.stage.children[f"server:{server}"].alive:
-            raise RigError(f"{name}: no process runs")
+            raise FaultBenchError(f"{name}: no process runs")
         return self.stage.versions[server]
 
     async def check(self, name: str) -> str:
         host, port = self.stage.ways.servers[int(name.removeprefix("s-"))]
         status, answer = await text(f"{host}:{port}", "GET", "/selftest")
         if (status, answer) != (200, "42"):
-            raise RigError(f"{answer} is not 42")
+            raise FaultBenchError(f"{answer} is not 42")
         return answer
 
     # Nodes.
@@ -174,7 +174,7 @@
         _, address = self.door(name, door)
         child = self.stage.by_door.get(address)
         if child is None or not child[0].alive:
-            raise RigError(f"{name}: no process has its door at {door}")
+            raise FaultBenchError(f"{name}: no process has its door at {door}")
         return child[1]
 
 
@@ -182,10 +182,10 @@
     return f"{address[0]}:{address[1]}"
 
 
-async def run_controller(stage: Stage, plan: Path, farm: Path, log: Path) -> Child:
+async def run_controller(stage: Farm, plan: Path, farm: Path, log: Path) -> ChildProcess:
     """A controller as a process, as staff start one."""
     words = [sys.executable, "-B", "-m", "flaxstep", "release", "run", str(plan), "--farm", str(farm)]
     text = f"exec {shlex.join(words)} >>{shlex.quote(str(log))} 2>&1"
-    child = await Child.start("controller", shell_command(text), log)
+    child = await ChildProcess.start("controller", shell_command(text), log)
     stage.leaving.append(child)
     return child
--- a/flaxstep/faultbench/result.py
+++ b/flaxstep/faultbench/result.py
@@ -10,11 +10,11 @@
 
 from flaxstep.faultbench.records import read_records
 from flaxstep.faultbench.rule_checks import Breach, breaches
-from flaxstep.faultbench.schedule import Timetable
-from flaxstep.faultbench.trace import Story, TryStory, tell
+from flaxstep.faultbench.schedule import Schedule
+from flaxstep.faultbench.trace import Trace, TryTrace, tell
 from flaxstep.simulator.sampling import Plan, draw_plan
 from flaxstep.simulator.scenario import Scenario
-from flaxstep.simulator.scoring import Judge, Verdict
+from flaxstep.simulator.scoring import Scorer, Verdict
 from flaxstep.simulator.simulation import Outcomes
 
 TEN = 10  # s
@@ -78,10 +78,10 @@
 class Ledger:
     """Counts one story."""
 
-    def __init__(self, scenario: Scenario, plan: Plan, story: Story) -> None:
+    def __init__(self, scenario: Scenario, plan: Plan, story: Trace) -> None:
         self.scenario, self.plan, self.story = scenario, plan, story
         self.seconds = int(plan.length / 1000) + 1
-        self.judge = Judge(scenario, self.seconds)
+        self.judge = Scorer(scenario, self.seconds)
         n = len(scenario.classes)
         self.outcomes = Outcomes(*([0] * n for _ in range(6)))
         self.classes = [Line(c.name) for c in scenario.classes]
@@ -137,13 +137,13 @@
                 for line in self.lines(first):
                     line.unserved += 1
 
-    def count_attempts(self, one: TryStory) -> None:
+    def count_attempts(self, one: TryTrace) -> None:
         bill, zones = self.judge.bill, self.plan.node_zones
         for attempt in one.attempts:
             bill.attempts += 1
             bill.across += zones[attempt.node] != self.plan.servers[attempt.began.server].zone
 
-    def count_answer(self, one: TryStory) -> bool:
+    def count_answer(self, one: TryTrace) -> bool:
         """Book what a try came to; whether its client was served."""
         asked, answered = one.asked, one.answered
         wanted, first = self.scenario.classes[asked.cls], asked.first
@@ -164,7 +164,7 @@
             line.failed += not refused
         return False
 
-    def serve(self, one: TryStory, took: float) -> bool:
+    def serve(self, one: TryTrace, took: float) -> bool:
         asked = one.asked
         wanted, first = self.scenario.classes[asked.cls], asked.first
         in_time = took <= wanted.aim_ms
@@ -221,7 +221,7 @@
     length = plan.length / 1000
     bands = [
         (band.name, round(band.start / 1000, 3), round(min(band.end / 1000 or length, length), 3))
-        for band in Timetable(scenario, plan).bands
+        for band in Schedule(scenario, plan).bands
         if band.start < plan.length
     ]
     return Result(
--- a/flaxstep/faultbench/rule_checks.py
+++ b/flaxstep/faultbench/rule_checks.py
@@ -13,7 +13,7 @@
 
 from flaxstep.faultbench.clients import CROSSED
 from flaxstep.faultbench.farm_config import server_id
-from flaxstep.faultbench.trace import FOREVER, Attempt, Story, TryStory
+from flaxstep.faultbench.trace import FOREVER, Attempt, Trace, TryTrace
 from flaxstep.simulator.scenario import Class, Rules, Scenario
 
 SLACK = 50.0  # ms by which each limit is longer on sockets
@@ -35,10 +35,10 @@
     what: str
 
 
-Check = Callable[[Story, Scenario], Iterator[Breach]]
+Check = Callable[[Trace, Scenario], Iterator[Breach]]
 
 
-def lost(story: Story, scenario: Scenario) -> Iterator[Breach]:
+def lost(story: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Every request that a running node has taken gets one final answer in time."""
     for one in story.tries.values():
         asked, answered = one.asked, one.answered
@@ -60,7 +60,7 @@
             yield Breach("lost request", answered.at, one.node, asked.id, -1, what)
 
 
-def ended_unanswered(one: TryStory) -> str:
+def ended_unanswered(one: TryTrace) -> str:
     """Why a connection that ended lost its request; nothing where it did not."""
     asked, answered = one.asked, one.answered
     assert answered is not None
@@ -72,7 +72,7 @@
     return "its connection ended without an answer"
 
 
-def excused(story: Story, one: TryStory, until: float) -> bool:
+def excused(story: Trace, one: TryTrace, until: float) -> bool:
     """Whether its node did not run all the time, or could not reach the client."""
     if one.node < 0:
         return True
@@ -82,7 +82,7 @@
     )
 
 
-def alike(story: Story, wanted: Class, one: int, other: int) -> bool:
+def alike(story: Trace, wanted: Class, one: int, other: int) -> bool:
     """Whether a repeat at the other server is dropped by the first one's group."""
     a, b = story.plan.servers[one], story.plan.servers[other]
     if wanted.group == "cell":
@@ -90,7 +90,7 @@
     return wanted.group == "all" or a.zone == b.zone
 
 
-def duplicates(story: Story, scenario: Scenario) -> Iterator[Breach]:
+def duplicates(story: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Nothing that may have run is repeated beyond its class, refused, or made up."""
     for attempt in story.strangers:
         yield breach("duplicate", attempt, "a request that no client sent")
@@ -121,7 +121,7 @@
             yield breach("duplicate", ran[0], "refused though it has run")
 
 
-def together(story: Story, scenario: Scenario) -> Iterator[Breach]:
+def together(story: Trace, scenario: Scenario) -> Iterator[Breach]:
     """One attempt out at a time, and no more than allowed."""
     for one in story.tries.values():
         for before, attempt in zip(one.attempts, one.attempts[1:], strict=False):
@@ -135,7 +135,7 @@
             yield breach("attempts", last, f"{len(one.attempts)} attempts")
 
 
-def drained(story: Story, scenario: Scenario) -> Iterator[Breach]:
+def drained(story: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Nothing new to a server that drains or is gone, once the node was told and the grace is over."""
     for attempt in attempts(story):
         out_since = told_out(story, attempt, scenario.rules)
@@ -144,7 +144,7 @@
             yield breach("drain", attempt, f"{late:.0f} ms past the grace")
 
 
-def told_out(story: Story, attempt: Attempt, rules: Rules) -> float:
+def told_out(story: Trace, attempt: Attempt, rules: Rules) -> float:
     """From when on the node's news forbade this attempt; never, if it did not."""
     started = [line.at for line in story.starts[attempt.node] if line.at <= attempt.first]
     out_since, server = FOREVER, attempt.began.server
@@ -167,7 +167,7 @@
     return out_since
 
 
-def cordoned(story: Story, scenario: Scenario) -> Iterator[Breach]:
+def cordoned(story: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Nothing new to a server that staff have taken out, from the node's yes until they call it back."""
     out: dict[tuple[int, str], list[tuple[float, float]]] = {}
     for line in story.happened:
@@ -189,13 +189,13 @@
                 yield breach("cordon", attempt, f"{attempt.first - start:.0f} ms after the node's yes")
 
 
-def pushed_over(story: Story, scenario: Scenario) -> Iterator[Breach]:
+def pushed_over(story: Trace, scenario: Scenario) -> Iterator[Breach]:
     """No cold server is sent more than it can bear."""
     for fell in story.fell:
         yield Breach("cold server", fell.at, -1, "", fell.server, "sent more than it can bear, it fell over")
 
 
-def attempts(story: Story) -> Iterator[Attempt]:
+def attempts(story: Trace) -> Iterator[Attempt]:
     for one in story.tries.values():
         yield from one.attempts
     yield from story.strangers
@@ -209,7 +209,7 @@
 CHECKS: tuple[Check, ...] = (lost, duplicates, together, drained, cordoned, pushed_over)
 
 
-def breaches(story: Story, scenario: Scenario) -> list[Breach]:
+def breaches(story: Trace, scenario: Scenario) -> list[Breach]:
     """All breaches of a play, in order of time."""
     found = [breach for check in CHECKS for breach in check(story, scenario)]
     return sorted(found, key=lambda breach: breach.at)
--- a/flaxstep/faultbench/runner.py
+++ b/flaxstep/faultbench/runner.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from flaxstep.faultbench.fake_service import RigError
-from flaxstep.faultbench.farm import Stage
-from flaxstep.faultbench.schedule import Step, Timetable
+from flaxstep.faultbench.fake_service import FaultBenchError
+from flaxstep.faultbench.farm import Farm
+from flaxstep.faultbench.schedule import Schedule, Step
 from flaxstep.simulator.scenario import Scenario
 
 AFTER = 4.0  # s for which a play goes on at most after its last first try
@@ -31,20 +31,20 @@
     assert this is not None
     loop.add_signal_handler(signal.SIGTERM, this.cancel)
     try:
-        async with Stage(scenario, path, seed, folder, run) as stage:
+        async with Farm(scenario, path, seed, folder, run) as stage:
             await stage.open()
             await stage.begin()
-            await run_steps(stage, Timetable(scenario, stage.plan).steps, progress)
+            await run_steps(stage, Schedule(scenario, stage.plan).steps, progress)
     except ExceptionGroup as group:
-        failed, _ = group.split(RigError)
+        failed, _ = group.split(FaultBenchError)
         if failed is None:
             raise
-        raise RigError(str(failed.exceptions[0])) from None
+        raise FaultBenchError(str(failed.exceptions[0])) from None
     finally:
         loop.remove_signal_handler(signal.SIGTERM)
 
 
-async def run_steps(stage: Stage, steps: list[Step], progress: Progress = quiet) -> None:
+async def run_steps(stage: Farm, steps: list[Step], progress: Progress = quiet) -> None:
     """Each step at its time, until the clients have had all their answers."""
     length = stage.plan.length / 1000
     in_time = [step for step in steps if step.at <= stage.plan.length]
@@ -59,16 +59,16 @@
             task.cancel()
 
 
-async def perform(stage: Stage, step: Step, progress: Progress) -> None:
+async def perform(stage: Farm, step: Step, progress: Progress) -> None:
     await asyncio.sleep(max(0.0, step.at / 1000 - played(stage)))
     if step.do != "set_server":
         told = " ".join(str(value) for value in step.arguments.values() if not isinstance(value, dict))
         progress(played(stage), stage.plan.length / 1000, f"{step.do} {told}")
     try:
         await getattr(stage, step.do)(**step.arguments)
-    except RigError as error:  # a process that is not there: the play goes on, and the record says so
+    except FaultBenchError as error:  # a process that is not there: the play goes on, and the record says so
         stage.note("step failed", step.do, str(error))
 
 
-def played(stage: Stage) -> float:
+def played(stage: Farm) -> float:
     return time.monotonic() - stage.t0
--- a/flaxstep/faultbench/schedule.py
+++ b/flaxstep/faultbench/schedule.py
@@ -37,7 +37,7 @@
     end: float
 
 
-class Timetable:
+class Schedule:
     """The steps of a play in order of time, and what lasts meanwhile."""
 
     def __init__(self, scenario: Scenario, plan: Plan) -> None:
--- a/flaxstep/faultbench/trace.py
+++ b/flaxstep/faultbench/trace.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class TryStory:
+class TryTrace:
     """One try of a client, as it was written whole."""
 
     asked: Asked
@@ -71,9 +71,9 @@
 
 
 @dataclass(slots=True)
-class Story:
+class Trace:
     plan: Plan
-    tries: dict[str, TryStory] = field(default_factory=dict)
+    tries: dict[str, TryTrace] = field(default_factory=dict)
     strangers: list[Attempt] = field(default_factory=list)  # requests that no client sent
     told: dict[int, list[Told]] = field(default_factory=lambda: defaultdict(list))
     happened: list[Happened] = field(default_factory=list)
@@ -94,9 +94,9 @@
         return any(span.meets(start, end) for span in self.away[node])
 
 
-def tell(records: Iterable[Record], plan: Plan, regions: dict[str, list[int]]) -> Story:
+def tell(records: Iterable[Record], plan: Plan, regions: dict[str, list[int]]) -> Trace:
     """The story of a play's records, in whatever order they come."""
-    story = Story(plan, regions=regions)
+    story = Trace(plan, regions=regions)
     kinds: dict[type, list[Record]] = defaultdict(list)
     for record in records:
         kinds[type(record)].append(record)
@@ -117,7 +117,7 @@
     return story
 
 
-def follow_faults(story: Story, lines: list[Record]) -> None:
+def follow_faults(story: Trace, lines: list[Record]) -> None:
     """When each fault of links began and ended."""
     running: dict[tuple[str, str, str, str], Span] = {}
     for line in lines:
@@ -133,7 +133,7 @@
         story.faults.append((Fault(spec), running[key]))
 
 
-def follow_nodes(story: Story) -> None:
+def follow_nodes(story: Trace) -> None:
     """When each node did not run; one that was told to end is away until it is ready again."""
     since: dict[int, Span] = {}
     for line in story.happened:
@@ -151,7 +151,7 @@
             since.pop(node).end = line.at
 
 
-def join_tries(story: Story, kinds: dict[type, list[Record]]) -> None:
+def join_tries(story: Trace, kinds: dict[type, list[Record]]) -> None:
     dealt: dict[tuple[int, int], list[Dealt]] = defaultdict(list)
     for record in kinds[Dealt]:
         if isinstance(record, Dealt):
@@ -162,14 +162,14 @@
             before = [line for line in lines if line.at <= record.at]
             # The kernel takes a connection, and a first request on it, before the front comes to it.
             line = next(iter(before[-1:] or lines), None)
-            story.tries[record.id] = TryStory(record, line.node if line else -1)
+            story.tries[record.id] = TryTrace(record, line.node if line else -1)
     for record in kinds[Answered]:
         if isinstance(record, Answered) and record.id in story.tries:
             one = story.tries[record.id]
             one.answered = one.answered or record
 
 
-def join_attempts(story: Story, kinds: dict[type, list[Record]]) -> None:
+def join_attempts(story: Trace, kinds: dict[type, list[Record]]) -> None:
     turns: dict[tuple[str, int, int], list[Turn]] = defaultdict(list)
     for record in kinds[Turn]:
         if isinstance(record, Turn):
--- a/flaxstep/proxy/admin.py
+++ b/flaxstep/proxy/admin.py
@@ -10,7 +10,7 @@
 import httptools
 
 from flaxstep.proxy.config import Address
-from flaxstep.proxy.connection_close import STATUS_LINES, hang_up
+from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response
 
 MAX_CALLERS = 8  # connections at once
 CALL_TIME = 2.0  # s from its opening in which a caller must finish its call
@@ -24,18 +24,18 @@
 Calls = Mapping[bytes, tuple[bytes, Call]]  # by path: the method, and what is called
 
 
-class Door:
+class AdminServer:
     """The listener, and the callers that have not finished their calls, in the order in which they came."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, calls: Calls) -> None:
         self.loop = loop
         self.calls = calls
-        self.callers: dict[Caller, None] = {}
+        self.callers: dict[AdminConnection, None] = {}
 
     async def start(self, address: Address) -> asyncio.Server:
-        return await self.loop.create_server(lambda: Caller(self), *address)
+        return await self.loop.create_server(lambda: AdminConnection(self), *address)
 
-    def opened(self, caller: Caller) -> None:
+    def opened(self, caller: AdminConnection) -> None:
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
             next(iter(self.callers)).give_up()
@@ -56,12 +56,12 @@
             return 500, "failed; the log says why", b""
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection of a caller."""
 
     transport: asyncio.Transport
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self.door = door
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
@@ -132,4 +132,4 @@
         body = text.encode() + b"\n"
         head = b"%b%d\r\n%bContent-Type: text/plain\r\n" % (STATUS_LINES[status], len(body), extra)
         self.transport.write(b"%bConnection: close\r\n\r\n%b" % (head, body))
-        hang_up(self.door.loop, self.transport)
+        close_after_response(self.door.loop, self.transport)
--- a/flaxstep/proxy/client_connections.py
+++ b/flaxstep/proxy/client_connections.py
@@ -14,10 +14,16 @@
 import httptools
 
 from flaxstep.proxy.config import Config
-from flaxstep.proxy.connection_close import STATUS_LINES, hang_up, reset
+from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response, reset
 from flaxstep.proxy.event_log import event
-from flaxstep.proxy.request_bodies import LEAST, MAX_BODY, WHOLE, Room, Upload
-from flaxstep.proxy.server_connections import Message
+from flaxstep.proxy.request_bodies import (
+    BUFFERED_BODY_BYTES,
+    MAX_REQUEST_BODY_BYTES,
+    MIN_BODY_SHARE_BYTES,
+    BodyBudget,
+    Upload,
+)
+from flaxstep.proxy.server_connections import ForwardedRequest
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Effect
 
@@ -25,7 +31,8 @@
 MAX_WAITING = 16  # requests sent ahead on one connection, after which it is read no further
 REQUEST_TIME = 2.6  # s that a client may take to send one request; some take 2 s for the head
 PROVE_TIME = 2.6  # s from its opening in which a connection must bring a proper request; 3 s are owed at most
-LEAST_RATE = 32768  # bytes a second of a body for which a client gets more time; slow ones send twice as much
+# Of a body, for which a client gets more time; slow ones send twice as much.
+MIN_UPLOAD_BYTES_PER_S = 32768
 BACKLOG = 4096  # connections that the kernel may queue; it takes off what is over its own limit
 STOPPED = 0.5  # s without a byte of its first request after which a connection makes room before idle ones
 LOOK = 0.1  # s between looks for connections that bring nothing
@@ -58,7 +65,7 @@
 class ClientRequest:
     """A checked request."""
 
-    message: Message
+    message: ForwardedRequest
     cls: int
     tenant: int
     key: int
@@ -69,11 +76,11 @@
     expects: bool = False  # the client waits for a go-ahead before it sends the body
 
 
-class Health:
+class HealthCheck:
     """The front asks whether the node can serve."""
 
 
-class Handler(Protocol):
+class RequestHandler(Protocol):
     """What takes the requests."""
 
     @property
@@ -84,16 +91,16 @@
     def draining(self) -> bool:
         """Whether each connection ends with its last answer."""
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def accept_request(self, client: ClientConnection, request: ClientRequest) -> None:
         """Take on a request and give the connection its number."""
 
-    def uploaded(self, client: ClientConnection, request_id: int) -> None:
+    def upload_complete(self, client: ClientConnection, request_id: int) -> None:
         """The last byte of a body that was passed on as it came has come."""
 
-    def withdraw(self, request_id: int) -> None:
+    def client_gone(self, request_id: int) -> None:
         """The client has gone away."""
 
-    def hold_answer(self, request_id: int, hold: bool) -> None:
+    def pause_response(self, request_id: int, hold: bool) -> None:
         """The client takes no more for now, or takes more again."""
 
 
@@ -101,10 +108,15 @@
     """All connections of clients."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, handler: Handler, limit: int, room: Room
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        handler: RequestHandler,
+        limit: int,
+        body_budget: BodyBudget,
     ) -> None:
         self.loop = loop
-        self.room = room
+        self.body_budget = body_budget
         self.config = config
         self.handler = handler
         self.limit = limit
@@ -353,7 +365,7 @@
         self.listener = listener
         self.parser = httptools.HttpRequestParser(self)
         # What has come and has not had its turn, and whether to keep the connection alive after it.
-        self.waiting: deque[tuple[ClientRequest | BadRequest | Health, bool]] = deque()
+        self.waiting: deque[tuple[ClientRequest | BadRequest | HealthCheck, bool]] = deque()
         self.request_id = 0  # of the request that is being served; 0: none
         self.busy = self.advancing = False
         self.keep = True  # the connection, after the answer under way
@@ -408,7 +420,7 @@
     def withdraw(self) -> None:
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
-            self.listener.handler.withdraw(request_id)
+            self.listener.handler.client_gone(request_id)
 
     def close(self, cause: str) -> None:
         """End it between requests, or in one that will never be whole."""
@@ -425,12 +437,12 @@
         self.crowded = self.held = False
         self.read_or_not()
         self.listener.shut(self)
-        hang_up(self.listener.loop, self.transport)
+        close_after_response(self.listener.loop, self.transport)
 
     # Requests in.
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.listener.room.read_buffer()
+        return self.listener.body_budget.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
         if self.shut or (self.ended and not self.reading):
@@ -438,7 +450,7 @@
         self.unread += nbytes
         self.listener.heard(self)
         try:
-            self.parser.feed_data(self.listener.room.read_buffer()[:nbytes])
+            self.parser.feed_data(self.listener.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserUpgrade:
             # No upgrade is offered: the request is served as any other, and the last on its connection.
             self.ended = True
@@ -463,7 +475,7 @@
         if len(waiting) < 2:
             return False
         bodies = sum(len(item.message.body) for item, _ in waiting if isinstance(item, ClientRequest))
-        return len(waiting) > MAX_WAITING or bodies > self.listener.room.share
+        return len(waiting) > MAX_WAITING or bodies > self.listener.body_budget.share
 
     def read_or_not(self) -> None:
         if self.transport.is_closing():
@@ -475,7 +487,7 @@
             self.listener.paused.pop(self.descriptor, None)
             self.transport.resume_reading()
 
-    def hold_upload(self, hold: bool) -> None:
+    def pause_upload(self, hold: bool) -> None:
         if hold == self.held:
             return
         self.held = hold
@@ -502,7 +514,7 @@
         elif self.uploader:  # the request under way is the one that is broken
             self.keep = False
             if self.answering:
-                self.break_off()
+                self.abort_response()
             else:
                 self.answer(error.status, extra=error.extra)
         else:
@@ -517,7 +529,7 @@
             self.timer.cancel()
         if self.counted:
             self.counted = False
-            self.listener.room.bodies -= 1
+            self.listener.body_budget.bodies -= 1
         if self.upload is not None:
             upload, self.upload = self.upload, None
             upload.break_off()
@@ -535,7 +547,7 @@
     def too_slow(self) -> None:
         """A client that never finishes its request must not hold a descriptor for ever."""
         loop = self.listener.loop
-        left = self.begun + REQUEST_TIME + self.came / LEAST_RATE - loop.time()
+        left = self.begun + REQUEST_TIME + self.came / MIN_UPLOAD_BYTES_PER_S - loop.time()
         if self.held or left > 0:
             self.timer = loop.call_later(max(left, LOOK), self.too_slow)
             return
@@ -544,7 +556,7 @@
 
     def give_up(self, late: float) -> None:
         """No proper request has come in time, unless its body is on its way as fast as need be."""
-        if self.headers.whole and late < self.came / LEAST_RATE:
+        if self.headers.whole and late < self.came / MIN_UPLOAD_BYTES_PER_S:
             return
         if self.reading and not self.ended:
             self.stop_reading(BadRequest(408))
@@ -573,9 +585,9 @@
             raise BadRequest(505)
         if headers.chunked and version == "1.0":
             raise BadRequest(400)  # who sent it can't have meant it
-        if headers.length > MAX_BODY:
+        if headers.length > MAX_REQUEST_BODY_BYTES:
             raise BadRequest(413)  # before the body has come
-        if headers.length > WHOLE:
+        if headers.length > BUFFERED_BODY_BYTES:
             self.start_upload(headers.length)
         elif headers.expects and not self.busy and not self.waiting:
             self.go_ahead()
@@ -587,10 +599,10 @@
     def start_upload(self, length: int | None) -> None:
         """The body is more than is held whole: the request goes on its way while it still comes."""
         request = self.whole_request()
-        if isinstance(request, Health):
+        if isinstance(request, HealthCheck):
             raise BadRequest(400)
         self.count_body()
-        self.upload = Upload(self, self.listener.room, length, bytes(self.body))
+        self.upload = Upload(self, self.listener.body_budget, length, bytes(self.body))
         self.body = bytearray()
         request.message.upload, request.message.body = self.upload, b""
         request.expects = self.headers.expects
@@ -599,19 +611,19 @@
     def count_body(self) -> None:
         if not self.counted:
             self.counted = True
-            self.listener.room.bodies += 1
+            self.listener.body_budget.bodies += 1
 
     def on_body(self, body: bytes) -> None:
         self.came += len(body)
-        if self.came > MAX_BODY:
+        if self.came > MAX_REQUEST_BODY_BYTES:
             raise BadRequest(413)
         if self.upload is not None:
             self.upload.feed(body)
             return
         self.body += body
-        if len(self.body) > LEAST:
+        if len(self.body) > MIN_BODY_SHARE_BYTES:
             self.count_body()
-        if len(self.body) > self.listener.room.share:
+        if len(self.body) > self.listener.body_budget.share:
             # Where many bodies are in hand, less of each is held, also of those with a length.
             self.start_upload(None if self.headers.chunked else self.headers.length)
 
@@ -630,7 +642,7 @@
 
     def end_upload(self, upload: Upload) -> None:
         upload.end()
-        self.hold_upload(False)
+        self.pause_upload(False)
         if upload.answered:
             if self.ended:
                 self.hang_up("last_answer")
@@ -639,16 +651,16 @@
         elif self.uploader:
             self.uploader = False
             if self.request_id:
-                self.listener.handler.uploaded(self, self.request_id)
+                self.listener.handler.upload_complete(self, self.request_id)
 
-    def whole_request(self) -> ClientRequest | Health:
+    def whole_request(self) -> ClientRequest | HealthCheck:
         headers, url = self.headers, self.url
         if not url.startswith(b"/") and (form := _ABSOLUTE.match(url)):
             url = b"/" + url[form.end() :].removeprefix(b"/")  # as a proxy is asked; the server gets the path
         if url == HEALTH_PATH:
             if self.parser.get_method() != b"GET":
                 raise BadRequest(405, b"Allow: GET\r\n")
-            return Health()
+            return HealthCheck()
         cls, tenant, key = self.listener.check(self.parser, url, headers)
         method = self.parser.get_method()
         if headers.timeout is None or ((self.body or headers.length) and method == b"GET"):
@@ -656,7 +668,9 @@
         head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
         self.listener.proven(self)
         return ClientRequest(
-            message=Message(head, bytes(self.body), method == b"POST", request_id=headers.request_id or b""),
+            message=ForwardedRequest(
+                head, bytes(self.body), method == b"POST", request_id=headers.request_id or b""
+            ),
             cls=cls,
             tenant=tenant,
             key=key,
@@ -690,7 +704,7 @@
     def take(self, request: ClientRequest) -> None:
         upload = request.message.upload
         self.uploader = upload is not None and not upload.whole
-        self.listener.handler.take(self, request)
+        self.listener.handler.accept_request(self, request)
         if self.uploader and request.expects and self.busy:
             self.go_ahead()
 
@@ -715,7 +729,7 @@
         further = bool(self.waiting) or (self.reading and not self.uploader)
         return self.keep and (further or not self.listener.handler.draining)
 
-    def begin_answer(self, length: int | None, content_type: bytes) -> None:
+    def begin_response(self, length: int | None, content_type: bytes) -> None:
         """The answer goes out as it comes."""
         if length is None and self.parser.get_http_version() == "1.0":
             self.keep = False  # it ends with the connection
@@ -733,10 +747,10 @@
         self.transport.set_write_buffer_limits(0)  # nothing is held here: what the kernel does not take waits
         self.transport.write(b"%b%b\r\n" % (lines, b"" if self.keep else b"Connection: close\r\n"))
 
-    def pass_on(self, data: bytes) -> None:
+    def write_response_chunk(self, data: bytes) -> None:
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
 
-    def end_answer(self) -> None:
+    def end_response(self) -> None:
         self.request_id = 0
         if self.chunks:
             self.transport.write(b"0\r\n\r\n")
@@ -745,7 +759,7 @@
         # A drain may have begun meanwhile; nobody was told, but between requests a close is harmless.
         self.answered(self.keep)
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """The rest of the answer never comes, and the client has to see that."""
         self.request_id = 0
         self.ended = True
@@ -754,11 +768,11 @@
 
     def pause_writing(self) -> None:
         if self.answering:
-            self.listener.handler.hold_answer(self.request_id, True)
+            self.listener.handler.pause_response(self.request_id, True)
 
     def resume_writing(self) -> None:
         if self.answering:
-            self.listener.handler.hold_answer(self.request_id, False)
+            self.listener.handler.pause_response(self.request_id, False)
 
     def answered(self, keep: bool) -> None:
         """The final answer has been written."""
--- a/flaxstep/proxy/connection_close.py
+++ b/flaxstep/proxy/connection_close.py
@@ -15,7 +15,7 @@
 STATUS_LINES = {s.value: f"HTTP/1.1 {s.value} {s.phrase}\r\nContent-Length: ".encode() for s in HTTPStatus}
 
 
-def hang_up(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
+def close_after_response(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
     """End a connection after its last answer.
 
     A plain close with bytes unread would reset it under that answer, so first only the sending ends: what
@@ -41,14 +41,14 @@
         loop.call_later(LINGER / 4, _linger, loop, transport, left, since)
 
 
-def unread(descriptor: int) -> select.poll:
+def unread_poll(descriptor: int) -> select.poll:
     """What tells, when asked, of all that has come and the loop has not read: a byte, an end or a reset."""
     asked = select.poll()
     asked.register(descriptor, select.POLLIN | select.POLLRDHUP)
     return asked
 
 
-def cut(transport: asyncio.Transport) -> None:
+def abort_now(transport: asyncio.Transport) -> None:
     """End a connection in this very step: the transport's own end waits for the loop's next turn."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
--- a/flaxstep/proxy/metrics.py
+++ b/flaxstep/proxy/metrics.py
@@ -14,7 +14,7 @@
 BUCKETS = 64  # from 1 ms to 65 s
 
 
-class Figures:
+class Metrics:
     """The counters. Each is raised where its outcome becomes known."""
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -48,18 +48,18 @@
         return "\n".join(f"{PREFIX}.{line}" for line in counts)
 
 
-class ServerFigures:
+class ServerMetrics:
     """What each listed job server has answered, by class, since its process started (or this node's did)."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes = list(classes)
-        self.servers: dict[int, Answers] = {}
+        self.servers: dict[int, ServerAnswerCounts] = {}
 
     def listed(self, server: int, name: str, started: float) -> None:
         """A server is in the list. One that has started anew begins anew here."""
         known = self.servers.get(server)
         if known is None or known.started != started:
-            self.servers[server] = Answers(name, started, len(self.classes))
+            self.servers[server] = ServerAnswerCounts(name, started, len(self.classes))
 
     def forget(self, server: int) -> None:
         """It is not listed any more."""
@@ -97,7 +97,7 @@
         )
 
 
-class Answers:
+class ServerAnswerCounts:
     """One job server's."""
 
     __slots__ = ("failed", "name", "started", "took", "unstarted")
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -17,16 +17,22 @@
 from dataclasses import dataclass
 from typing import Any
 
-from flaxstep.proxy.admin import Door, Reply
-from flaxstep.proxy.client_connections import LEAST_RATE, ClientConnection, ClientRequest, Listener, stable_id
+from flaxstep.proxy.admin import AdminServer, Reply
+from flaxstep.proxy.client_connections import (
+    MIN_UPLOAD_BYTES_PER_S,
+    ClientConnection,
+    ClientRequest,
+    Listener,
+    stable_id,
+)
 from flaxstep.proxy.config import Address, Config
 from flaxstep.proxy.discovery import Discovery
 from flaxstep.proxy.event_log import event as log_event
 from flaxstep.proxy.member_list import Endpoint, MemberList, MemberListReader
-from flaxstep.proxy.metrics import Figures, ServerFigures
-from flaxstep.proxy.request_bodies import MAX_BODY, Room
-from flaxstep.proxy.server_connections import Answer, Attempt, Message, ServerPool
-from flaxstep.proxy.shared_state import Handover, Shared
+from flaxstep.proxy.metrics import Metrics, ServerMetrics
+from flaxstep.proxy.request_bodies import MAX_REQUEST_BODY_BYTES, BodyBudget
+from flaxstep.proxy.server_connections import Attempt, ForwardedRequest, ServerPool, ServerResponse
+from flaxstep.proxy.shared_state import OperatorState, SharedState
 from flaxstep.proxy.wall_clock import WallClock, now_ms
 from flaxstep.routing import Policy
 from flaxstep.routing.interface import (
@@ -77,11 +83,11 @@
 
 
 @dataclass(slots=True)
-class Held:
+class PendingRequest:
     """A request that is owed its final answer."""
 
     client: ClientConnection
-    message: Message
+    message: ForwardedRequest
     cls: int
     due: float  # while its body comes: the latest that it can become
     timeout: float  # ms that the client gives from the last byte of its request
@@ -90,7 +96,7 @@
     attempt: Attempt | None = None  # whose answer is passed on as it comes
 
 
-def room(sockets: int) -> tuple[int, int]:
+def connection_limits(sockets: int) -> tuple[int, int]:
     """Connections of clients and to servers. A third for servers: few requests are in flight at once, but
     clients keep what they have opened."""
     left = sockets - min(SPARE_SOCKETS, sockets // 4)
@@ -103,7 +109,7 @@
         self.loop = loop
         self.policy = Policy(config.settings, config.seed)
         self.clock = WallClock()
-        self.held: dict[int, Held] = {}
+        self.held: dict[int, PendingRequest] = {}
         self.last_id = 0
         self.events: deque[Event] = deque()
         self.handling = False
@@ -115,14 +121,14 @@
         self.listed: set[int] = set()  # servers in the list
         self.told = asyncio.Event()  # discovery has given a list
         self.born = loop.time()
-        clients, servers = room(config.sockets)
-        self.figures = Figures(name.decode("latin-1") for name in config.classes)
-        self.by_server = ServerFigures(self.figures.classes)
-        self.room = Room((config.memory_mb << 20) // BODIES)
+        clients, servers = connection_limits(config.sockets)
+        self.figures = Metrics(name.decode("latin-1") for name in config.classes)
+        self.by_server = ServerMetrics(self.figures.classes)
+        self.body_budget = BodyBudget((config.memory_mb << 20) // BODIES)
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, self, self.figures, self.room
+            loop, config.dial_timeout, config.idle_timeout, servers, self, self.figures, self.body_budget
         )
-        self.listener = Listener(loop, config, self, clients, self.room)
+        self.listener = Listener(loop, config, self, clients, self.body_budget)
         self.lists = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
         self.discovery = Discovery(
             config.discovery,
@@ -142,7 +148,7 @@
             Log: self.log,
             Subscribe: self.subscribe,
         }
-        self.handover = Handover(config.shared, config.name, self.take_shared)
+        self.handover = SharedState(config.shared, config.name, self.take_shared)
         if config.admin is not None:
             self.handover.start()  # before the list: who is out must not be sent anything
         self.tell(DiscoveryReach(Reach.STARTED))
@@ -208,7 +214,7 @@
             self.figures.ended(held.cls, status)
             held.client.answer(status, extra=extra)
 
-    def release(self, request_id: int) -> Held | None:
+    def release(self, request_id: int) -> PendingRequest | None:
         """Nothing is owed any more, and no connection that still comes up carries the request."""
         held = self.held.pop(request_id, None)
         if held is not None:
@@ -231,15 +237,17 @@
 
     # From clients.
 
-    def take(self, client: ClientConnection, request: ClientRequest) -> None:
+    def accept_request(self, client: ClientConnection, request: ClientRequest) -> None:
         self.last_id += 1
         request_id = client.request_id = self.last_id
         upload = request.message.upload
         uploading = upload is not None and not upload.whole
         due = max(request.sent, now_ms() if upload is not None else 0.0) + request.timeout - MARGIN
         if uploading:
-            due += 1000 * MAX_BODY / LEAST_RATE
-        self.held[request_id] = Held(client, request.message, request.cls, due, request.timeout, uploading)
+            due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
+        self.held[request_id] = PendingRequest(
+            client, request.message, request.cls, due, request.timeout, uploading
+        )
         cls, key, tenant = request.cls, request.key, request.tenant
         log_event(
             "request_taken",
@@ -250,7 +258,7 @@
         )
         self.tell(Request(request_id, cls, due, key, tenant, request.hint, request.repeat, uploading))
 
-    def uploaded(self, client: ClientConnection, request_id: int) -> None:
+    def upload_complete(self, client: ClientConnection, request_id: int) -> None:
         held = self.held.get(request_id)
         if held is None:
             return
@@ -259,7 +267,7 @@
             held.due = now_ms() + held.timeout - MARGIN
             self.tell(Uploaded(request_id, held.due))
 
-    def withdraw(self, request_id: int) -> None:
+    def client_gone(self, request_id: int) -> None:
         held = self.release(request_id)
         if held is None:
             return
@@ -267,23 +275,23 @@
         if held.attempt is not None:  # its answer is the client's: with the client it ends
             self.pool.drop(held.attempt, Result.CANCELLED)
 
-    def hold_answer(self, request_id: int, hold: bool) -> None:
+    def pause_response(self, request_id: int, hold: bool) -> None:
         held = self.held.get(request_id)
         if held is not None and held.attempt is not None and held.attempt.connection is not None:
             held.attempt.connection.hold_answer(hold)
 
     # From servers.
 
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: Answer | None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: Result, answer: ServerResponse | None) -> None:
         request_id, held = attempt.request_id, self.held.get(attempt.request_id)
         if held is not None and held.attempt is attempt:
             del self.held[request_id]
             if result is Result.OK:
                 self.figures.ended(held.cls, 200)
-                held.client.end_answer()
+                held.client.end_response()
             else:
                 self.figures.ended(held.cls, 502)
-                held.client.break_off()
+                held.client.abort_response()
         elif held is not None and result is Result.OK and answer is not None:
             del self.held[request_id]
             log_event("answered", request=held.message.request_id, status=200)
@@ -305,7 +313,7 @@
         spent = upload is not None and upload.spent
         self.tell(Outcome(request_id, attempt.server.id, over, result, attempt.number, elapsed, spent=spent))
 
-    def answer_begins(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
+    def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
         request_id, held = attempt.request_id, self.held.get(attempt.request_id)
         if held is None:  # it is over: nobody waits for the answer
             self.pool.drop(attempt, Result.CANCELLED)
@@ -313,12 +321,12 @@
         held.attempt = attempt
         elapsed = now_ms() - attempt.started
         self.tell(Began(request_id, attempt.number, attempt.server.id, elapsed))
-        held.client.begin_answer(length, content_type)
+        held.client.begin_response(length, content_type)
 
-    def answer_part(self, attempt: Attempt, part: bytes) -> None:
+    def response_chunk(self, attempt: Attempt, part: bytes) -> None:
         held = self.held.get(attempt.request_id)
         if held is not None:
-            held.client.pass_on(part)
+            held.client.write_response_chunk(part)
 
     # From discovery.
 
@@ -441,7 +449,7 @@
     def uncordon(self, body: bytes) -> Reply:
         now = now_ms()
 
-        def edit(shared: Shared, name: str) -> Shared:
+        def edit(shared: OperatorState, name: str) -> OperatorState:
             if name not in shared.cordoned:
                 return shared
             warm = now - self.config.settings.ramp_time
@@ -456,7 +464,7 @@
         self,
         body: bytes,
         done: str,
-        edit: Callable[[Shared, str], Shared],
+        edit: Callable[[OperatorState, str], OperatorState],
         not_kept: Callable[[str], None] | None = None,
     ) -> Reply:
         """Carry a call out; `not_kept` is told the server's name if the change can't be written down."""
@@ -480,7 +488,7 @@
             return 503, f"out here and not kept yet: {error}"
         return 200, f"{name} {done}"
 
-    def take_shared(self, before: Shared, shared: Shared) -> None:
+    def take_shared(self, before: OperatorState, shared: OperatorState) -> None:
         """What operators have said here or at another process holds from now on."""
         for name in sorted(shared.cordoned - before.cordoned):
             server_id = stable_id(name.encode())
@@ -503,8 +511,8 @@
     def share_room(self) -> None:
         """Two processes are one node: each keeps to half of what it may hold."""
         parts = 2 if self.handover.others else 1
-        self.room.budget = (self.config.memory_mb << 20) // BODIES // parts
-        clients, servers = room(self.config.sockets // parts)
+        self.body_budget.budget = (self.config.memory_mb << 20) // BODIES // parts
+        clients, servers = connection_limits(self.config.sockets // parts)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
 
@@ -528,7 +536,7 @@
 
     async def start(self) -> None:
         if self.config.admin is not None:
-            door, address = Door(self.loop, self.calls()), self.config.admin
+            door, address = AdminServer(self.loop, self.calls()), self.config.admin
             self.door = await self.persist(lambda: door.start(address))
             self.look_at_shared()
         self.watch = self.loop.create_task(self.discovery.run())
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -11,10 +11,10 @@
 import httptools
 
 from flaxstep.proxy.config import Address
-from flaxstep.proxy.connection_close import cut, unread
+from flaxstep.proxy.connection_close import abort_now, unread_poll
 from flaxstep.proxy.event_log import event
-from flaxstep.proxy.metrics import Figures
-from flaxstep.proxy.request_bodies import LEAST, WHOLE, Room, Upload
+from flaxstep.proxy.metrics import Metrics
+from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES, MIN_BODY_SHARE_BYTES, BodyBudget, Upload
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Result, State
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Message:
+class ForwardedRequest:
     """A request as it goes on: all but its time-out, which each attempt writes anew."""
 
     head: bytes  # request line and header lines, but for the length
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class ServerResponse:
     """A server's whole answer."""
 
     status: int
@@ -62,9 +62,9 @@
 class Attempt:
     request_id: int
     number: int
-    server: Server
+    server: EndpointConnections
     version: int  # of the server's entry when the attempt was decided
-    message: Message
+    message: ForwardedRequest
     started: float
     deadline: float
     latest: float  # clock time from which it may not go out any more
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class EndpointConnections:
     """A server at its address. The version counts changes after which old connections are not used."""
 
     id: int
@@ -131,7 +131,7 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, pool: ServerPool, server: Server) -> None:
+    def __init__(self, pool: ServerPool, server: EndpointConnections) -> None:
         self.pool = pool
         self.server = server
         self.version = server.version
@@ -159,7 +159,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
-        self.unread = unread(transport.get_extra_info("socket").fileno())
+        self.unread = unread_poll(transport.get_extra_info("socket").fileno())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
@@ -179,7 +179,8 @@
     def give_up(self, result: Result) -> None:
         """No answer, or no more of it, is waited for here."""
         attempt = self.leave()
-        cut(self.transport)  # before the module hears of it: what it sends next must not be a second one out
+        # Before the module hears of it: what it sends next must not be a second one out.
+        abort_now(self.transport)
         if attempt is not None:
             self.pool.end(attempt, result)
 
@@ -200,7 +201,7 @@
         self.parts.clear()
         if self.counted:
             self.counted = False
-            self.pool.room.bodies -= 1
+            self.pool.body_budget.bodies -= 1
         if attempt is not None and attempt.message.upload is not None:
             attempt.message.upload.leave()
         return attempt
@@ -243,24 +244,24 @@
             self.attempt.started = now_ms()  # only now can the server begin
         self.pool.figures.forwards += 1
 
-    def pass_on(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         assert self.attempt is not None and self.attempt.message.upload is not None
         chunked = self.attempt.message.upload.length is None
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if chunked else data)
 
-    def pass_end(self) -> None:
+    def finish_body(self) -> None:
         assert self.attempt is not None and self.attempt.message.upload is not None
         if self.attempt.message.upload.length is None:
             self.transport.write(b"0\r\n\r\n")
         self.transport.set_write_buffer_limits()
         self.written()
 
-    def break_off(self) -> None:
+    def abort_body(self) -> None:
         self.give_up(Result.CANCELLED)
 
     def pause_writing(self) -> None:
         if self.attempt is not None and self.attempt.message.upload is not None:
-            self.attempt.message.upload.source.hold_upload(True)
+            self.attempt.message.upload.source.pause_upload(True)
             self.stall = self.pool.loop.call_later(STALL_TIME, self.stalled)
 
     def resume_writing(self) -> None:
@@ -268,7 +269,7 @@
             self.stall.cancel()
             self.stall = None
         if self.attempt is not None and self.attempt.message.upload is not None:
-            self.attempt.message.upload.source.hold_upload(False)
+            self.attempt.message.upload.source.pause_upload(False)
 
     def stalled(self) -> None:
         if self.attempt is not None and not self.attempt.written:
@@ -277,7 +278,7 @@
     # The answer.
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.pool.room.read_buffer()
+        return self.pool.body_budget.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
         if self.attempt is None:  # nothing was asked: what comes next on it could pass for an answer
@@ -286,7 +287,7 @@
         self.answering = True
         self.heard = now_ms()
         try:
-            self.parser.feed_data(self.pool.room.read_buffer()[:nbytes])
+            self.parser.feed_data(self.pool.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserError as error:
             if self.attempt is None:  # given up while it was read
                 return
@@ -326,7 +327,7 @@
             result = Result.FULL
         else:
             result = Result.ERROR
-        self.pool.end(attempt, result, Answer(status, body, self.content_type))
+        self.pool.end(attempt, result, ServerResponse(status, body, self.content_type))
 
     def hold_answer(self, hold: bool) -> None:
         """The client takes no more for now, or takes more again."""
@@ -356,7 +357,7 @@
     def count(self) -> None:
         if not self.counted:
             self.counted = True
-            self.pool.room.bodies += 1
+            self.pool.body_budget.bodies += 1
 
     # What the parser finds.
 
@@ -392,7 +393,7 @@
             return
         if self.length is None:
             self.hold = self.pool.loop.call_later(HOLD, self.begin)
-        elif self.length > WHOLE:
+        elif self.length > BUFFERED_BODY_BYTES:
             self.begin()
 
     def on_body(self, body: bytes) -> None:
@@ -401,16 +402,16 @@
             return
         self.size += len(body)
         if self.parser.get_status_code() != 200:  # its body is of no use; one that goes on is not waited for
-            if self.size > WHOLE:
+            if self.size > BUFFERED_BODY_BYTES:
                 self.keep = False
                 self.finish()
         elif attempt.streaming:
             self.pool.on_part(attempt, body)
         else:
             self.parts.append(body)
-            if self.size > LEAST:
+            if self.size > MIN_BODY_SHARE_BYTES:
                 self.count()
-            if self.size > self.pool.room.share:
+            if self.size > self.pool.body_budget.share:
                 self.begin()
 
     def on_message_complete(self) -> None:
@@ -420,16 +421,16 @@
         self.keep = self.parser.should_keep_alive()
 
 
-class Taker(Protocol):
+class AttemptHandler(Protocol):
     """What the answers go to."""
 
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: Answer | None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: Result, answer: ServerResponse | None) -> None:
         """An attempt has ended, with the answer if one came whole."""
 
-    def answer_begins(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
+    def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
         """An answer is passed on as it comes."""
 
-    def answer_part(self, attempt: Attempt, part: bytes) -> None:
+    def response_chunk(self, attempt: Attempt, part: bytes) -> None:
         """A part of its body."""
 
 
@@ -442,18 +443,22 @@
         dial_timeout: float,
         idle_timeout: float,
         max_connections: int,
-        taker: Taker,
-        figures: Figures,
-        room: Room,
+        taker: AttemptHandler,
+        figures: Metrics,
+        body_budget: BodyBudget,
     ) -> None:
         self.loop = loop
         self.dial_timeout = dial_timeout
         self.keep_idle = IdleLimit(max(idle_timeout - IDLE_MARGIN, idle_timeout / 2))
         self.max_connections = max_connections
-        self.on_end, self.on_begin, self.on_part = taker.attempt_ended, taker.answer_begins, taker.answer_part
+        self.on_end, self.on_begin, self.on_part = (
+            taker.attempt_ended,
+            taker.response_started,
+            taker.response_chunk,
+        )
         self.figures = figures
-        self.room = room
-        self.servers: dict[int, Server] = {}
+        self.body_budget = body_budget
+        self.servers: dict[int, EndpointConnections] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[ServerConnection] = set()
         self.dials = 0
@@ -463,7 +468,7 @@
         """Take over a line of the server list."""
         server = self.servers.get(server_id)
         if server is None:
-            self.servers[server_id] = Server(server_id, address, state, started)
+            self.servers[server_id] = EndpointConnections(server_id, address, state, started)
         elif (server.address, server.state, server.started) != (address, state, started):
             # Connections from before a restart are dead, and a server that drains gets nothing new.
             server.address, server.state, server.started = address, state, started
@@ -471,7 +476,7 @@
         if state is State.GONE:  # attempts under way know it; where servers come and go, nobody else must
             self.servers.pop(server_id, None)
 
-    def part_with(self, server: Server) -> None:
+    def part_with(self, server: EndpointConnections) -> None:
         """Use no connection to it that is open or on its way: what was decided before goes elsewhere."""
         server.version += 1
         for connection in server.idle:
@@ -488,7 +493,13 @@
             self.part_with(server)
 
     def send(
-        self, request_id: int, number: int, server_id: int, limit: float, within: float, message: Message
+        self,
+        request_id: int,
+        number: int,
+        server_id: int,
+        limit: float,
+        within: float,
+        message: ForwardedRequest,
     ) -> None:
         """Begin an attempt: it goes out within so many ms or not at all, and ends after `limit` ms."""
         server = self.servers[server_id]
@@ -635,7 +646,7 @@
         else:
             self.end(attempt, result)
 
-    def end(self, attempt: Attempt, result: Result, answer: Answer | None = None) -> None:
+    def end(self, attempt: Attempt, result: Result, answer: ServerResponse | None = None) -> None:
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         if attempt.timer is not None:
--- a/flaxstep/proxy/shared_state.py
+++ b/flaxstep/proxy/shared_state.py
@@ -31,27 +31,27 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Shared:
+class OperatorState:
     """What operators have said, by the servers' names."""
 
     cordoned: frozenset[str] = frozenset()
     returned: dict[str, float] = field(default_factory=dict)  # Unix time in ms of the call back
 
-    def without(self, name: str) -> Shared:
+    def without(self, name: str) -> OperatorState:
         """The server is taken out."""
         returned = {other: at for other, at in self.returned.items() if other != name}
-        return Shared(self.cordoned | {name}, returned)
+        return OperatorState(self.cordoned | {name}, returned)
 
-    def with_back(self, name: str, at: float, forget: Set[str]) -> Shared:
+    def with_back(self, name: str, at: float, forget: Set[str]) -> OperatorState:
         """The server is called back. The returns of those to forget no longer matter."""
         returned = {other: when for other, when in self.returned.items() if other not in forget}
-        return Shared(self.cordoned - {name}, returned | {name: at})
+        return OperatorState(self.cordoned - {name}, returned | {name: at})
 
     def to_json(self) -> bytes:
         return json.dumps({"cordoned": sorted(self.cordoned), "returned": self.returned}).encode()
 
     @classmethod
-    def from_json(cls, data: bytes) -> Shared:
+    def from_json(cls, data: bytes) -> OperatorState:
         """ValueError at anything but what to_json writes."""
         raw = load_limited(data)
         if not isinstance(raw, dict) or raw.keys() != {"cordoned", "returned"}:
@@ -87,12 +87,14 @@
     return moments
 
 
-class Handover:
+class SharedState:
     """This process's part in it. Without a folder it keeps what is said to itself."""
 
-    def __init__(self, folder: Path | None, name: str, on_change: Callable[[Shared, Shared], None]) -> None:
+    def __init__(
+        self, folder: Path | None, name: str, on_change: Callable[[OperatorState, OperatorState], None]
+    ) -> None:
         self.on_change = on_change  # gets what held before and what holds now
-        self.shared = Shared()
+        self.shared = OperatorState()
         self.others = False  # another process of the node runs
         self.stamp: tuple[int, int] | None = None  # of the file as last read
         self.folder = folder
@@ -166,7 +168,7 @@
         if self.unwritten:
             self.change(lambda shared: shared)
 
-    def change(self, edit: Callable[[Shared], Shared]) -> None:
+    def change(self, edit: Callable[[OperatorState], OperatorState]) -> None:
         """Keep a change, then let it hold. OSError, and nothing changed, if it can't be kept."""
         if self.folder is None:
             self.hold(edit(self.shared))
@@ -205,7 +207,7 @@
         age = max(0.0, time.time() * 1000 - unix)
         return time.monotonic() * 1000 - age
 
-    def write_moments(self, shared: Shared) -> None:
+    def write_moments(self, shared: OperatorState) -> None:
         self.moments = {name: moment for name, moment in self.moments.items() if name in shared.returned}
         pairs = {name: [moment.unix, moment.monotonic] for name, moment in self.moments.items()}
         replace_file(self.moments_file, json.dumps(pairs).encode())
@@ -218,7 +220,7 @@
         except (ValueError, RecursionError) as error:
             log.warning("%s: %s; Unix times have to do", self.moments_file, error)
 
-    def hold(self, shared: Shared) -> None:
+    def hold(self, shared: OperatorState) -> None:
         for name in self.unwritten:
             shared = shared.without(name)
         before, self.shared = self.shared, shared
@@ -232,13 +234,13 @@
             return
         data = read_limited(self.file)
         try:
-            shared = Shared.from_json(data)
+            shared = OperatorState.from_json(data)
         except (ValueError, RecursionError) as error:
             self.stamp = stamp  # it stays as it is until it is replaced
             log.warning("%s: %s; what held before holds on", self.file, error)
             return
         # Who is out must be known at once; when others came back is told by the second file.
-        self.hold(Shared(shared.cordoned, self.shared.returned))
+        self.hold(OperatorState(shared.cordoned, self.shared.returned))
         self.read_moments()
         self.stamp = stamp
         self.hold(shared)
--- a/flaxstep/rollout/actions.py
+++ b/flaxstep/rollout/actions.py
@@ -8,7 +8,7 @@
 import msgspec
 
 
-class Do(Enum):
+class ActionKind(Enum):
     """What can be asked of the rim. The first four change something, and are written down before."""
 
     CORDON = "cordon"
@@ -20,21 +20,21 @@
     CHECK = "check"
 
 
-CHANGES = frozenset({Do.CORDON, Do.UNCORDON, Do.RUN, Do.STOP})
+CHANGES = frozenset({ActionKind.CORDON, ActionKind.UNCORDON, ActionKind.RUN, ActionKind.STOP})
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class Action:
     """`version` for commands, `door` where a process of a node is meant."""
 
-    do: Do
+    do: ActionKind
     member: str
     version: str = ""
     door: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class ActionResult:
     """`text` is what a command wrote, or why it is a no; `known` is false where nobody can tell."""
 
     ok: bool
@@ -62,7 +62,7 @@
 IN_SERVICE = frozenset({Phase.SERVING, Phase.WARMING})
 
 
-class Standing(msgspec.Struct):
+class MemberState(msgspec.Struct):
     """Where a member stands. `target` is the version that its trip leads to; `version` what it runs."""
 
     id: str
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class StepTimes:
     """s, from the plan."""
 
     command: float
@@ -110,7 +110,7 @@
 
 
 @dataclass(slots=True)
-class Asks:
+class AvailableCommands:
     """Which commands the plan has beside the restart."""
 
     version: bool = False
--- a/flaxstep/rollout/canary_analysis.py
+++ b/flaxstep/rollout/canary_analysis.py
@@ -128,7 +128,7 @@
         return sum(stakes) / len(stakes)
 
 
-class Judge:
+class CanaryAnalysis:
     """`failures` is the share of failed answers, beyond the rest's, that nobody minds."""
 
     def __init__(self, false_halt: float, failures: float) -> None:
--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from flaxstep.rollout.canary_analysis import Seen
-from flaxstep.rollout.snapshot import Answers, Bins, View
+from flaxstep.rollout.snapshot import Answers, Bins, Snapshot
 
 ABOVE = 0.25  # the part of a member's answers that shall lie above its mark
 LEAST = 30  # answers below which a member's own mark says little: then all members' mark is taken
@@ -58,7 +58,7 @@
         self.asked: deque[tuple[float, float, float]] = deque()  # when, worth asked for, worth served
         self.rest: dict[tuple[str, str], float] = {}  # parts of an answer not counted yet
 
-    def take(self, view: View) -> dict[str, Counts]:
+    def take(self, view: Snapshot) -> dict[str, Counts]:
         """What came since the last look, by member. A door seen for the first time tells nothing yet."""
         found: dict[str, Counts] = {}
         asked = served = 0.0
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -8,17 +8,17 @@
 
 import msgspec
 
-from flaxstep.rollout.actions import Act, Do, Result, Standing
+from flaxstep.rollout.actions import Action, ActionKind, ActionResult, MemberState
 from flaxstep.rollout.farm import Farm
-from flaxstep.rollout.io.executor import Hands
-from flaxstep.rollout.io.snapshot_collector import look, look_at_list
+from flaxstep.rollout.io.executor import Executor
+from flaxstep.rollout.io.snapshot_collector import collect_snapshot, look_at_list
 from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
 from flaxstep.rollout.plan import Member, Plan, PlanError
 from flaxstep.rollout.release import ENDED, Release, State, line_up
-from flaxstep.rollout.state_machine import Course
+from flaxstep.rollout.state_machine import ReleaseStateMachine
 
 ASKED_AT_ONCE = 8  # commands
-LOST = Result(False, "its result was lost with the controller", known=False)
+LOST = ActionResult(False, "its result was lost with the controller", known=False)
 Tell = Callable[[str], None]
 
 
@@ -28,8 +28,8 @@
     def __init__(self, farm: Farm, store: Store, kept: Kept, tell: Tell) -> None:
         self.farm, self.store, self.kept, self.tell = farm, store, kept, tell
         doors = {node.name: node.doors for node in farm.nodes}
-        self.course = Course(kept.plan, kept.release, kept.members, doors)
-        self.hands = Hands(farm, kept.plan)
+        self.course = ReleaseStateMachine(kept.plan, kept.release, kept.members, doors)
+        self.hands = Executor(farm, kept.plan)
         self.told: tuple[State, str, int] | None = None
         self.told_phases = {member.id: member.phase for member in kept.members.values()}
 
@@ -72,7 +72,7 @@
             self.store.save(self.kept.id, self.kept.release, self.kept.members)
 
     async def look_once(self, tasks: asyncio.TaskGroup) -> None:
-        view = await look(self.farm, clock())
+        view = await collect_snapshot(self.farm, clock())
         self.hands.view = view
         if self.store.orders(self.kept.id):
             self.take_orders()
@@ -83,7 +83,7 @@
             self.kept.members[act.member].open = number or -1  # reads have no line, and are out all the same
             tasks.create_task(self.perform(number, act))
 
-    async def perform(self, number: int, act: Act) -> None:
+    async def perform(self, number: int, act: Action) -> None:
         if not self.store.holds():
             raise ClaimLost(f"{self.store.path}: another controller has taken this farm over")
         result = await self.hands.do(act)
@@ -141,17 +141,17 @@
     return Kept(number, plan, release, members, {}, time.time(), None)
 
 
-async def ask_versions(farm: Farm, plan: Plan, members: dict[str, Standing]) -> None:
+async def ask_versions(farm: Farm, plan: Plan, members: dict[str, MemberState]) -> None:
     """Who runs the new version already, where the plan can ask; PlanError if that leaves nothing to do."""
     if plan.commands.version is None:
         return
-    hands, room = Hands(farm, plan), asyncio.Semaphore(ASKED_AT_ONCE)
-    nodes = (await look(farm, clock())).nodes if plan.what == "nodes" else {}
+    hands, room = Executor(farm, plan), asyncio.Semaphore(ASKED_AT_ONCE)
+    nodes = (await collect_snapshot(farm, clock())).nodes if plan.what == "nodes" else {}
     doors = {name: node.processes[0].door for name, node in nodes.items() if node.processes}
 
-    async def ask(member: Standing) -> str:
+    async def ask(member: MemberState) -> str:
         async with room:
-            result = await hands.do(Act(Do.ASK, member.id, plan.to, doors.get(member.id, "")))
+            result = await hands.do(Action(ActionKind.ASK, member.id, plan.to, doors.get(member.id, "")))
         if not result.ok:
             return f"{member.id}: its version can't be asked: {result.text}"
         member.version = result.text
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -7,46 +7,46 @@
 import signal
 from contextlib import suppress
 
-from flaxstep.rollout.actions import Act, Do, Result
+from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.farm import Farm
 from flaxstep.rollout.io.child_processes import end_with
 from flaxstep.rollout.io.http_client import text
 from flaxstep.rollout.plan import Plan, command
-from flaxstep.rollout.snapshot import View
+from flaxstep.rollout.snapshot import Snapshot
 
 OUTPUT = 64 << 10  # bytes of a command's output that are kept
 
 
-class Hands:
+class Executor:
     """`view` is the newest look: where servers listen, and which doors answer."""
 
     def __init__(self, farm: Farm, plan: Plan) -> None:
         self.farm, self.plan = farm, plan
-        self.view: View | None = None
+        self.view: Snapshot | None = None
 
-    async def do(self, act: Act) -> Result:
+    async def do(self, act: Action) -> ActionResult:
         """What an act comes to. Nothing that goes wrong outside is an exception here."""
-        if act.do in (Do.CORDON, Do.UNCORDON):
+        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
             return await self.everywhere(act.do.value, act.member)
-        if act.do is Do.PING:
+        if act.do is ActionKind.PING:
             return await self.ping(act.member)
         commands = self.plan.commands
         words = {
-            Do.RUN: commands.restart,
-            Do.STOP: commands.stop,
-            Do.ASK: commands.version,
-            Do.CHECK: commands.check,
+            ActionKind.RUN: commands.restart,
+            ActionKind.STOP: commands.stop,
+            ActionKind.ASK: commands.version,
+            ActionKind.CHECK: commands.check,
         }[act.do]
         assert words is not None, "the plan has the commands that its steps ask for"
         return await run(command(words, act.member, act.version, act.door), commands.time_limit_s)
 
-    async def everywhere(self, what: str, server: str) -> Result:
+    async def everywhere(self, what: str, server: str) -> ActionResult:
         """A call for a job server at every node: yes if all say yes."""
         said = await asyncio.gather(*(self.at_node(node.doors, what, server) for node in self.farm.nodes))
         noes = [
             f"{node.name}: {why}" for node, why in zip(self.farm.nodes, said, strict=True) if why is not None
         ]
-        return Result(not noes, "; ".join(noes))
+        return ActionResult(not noes, "; ".join(noes))
 
     async def at_node(self, doors: tuple[str, ...], what: str, server: str) -> str | None:
         """Why a node did not say yes; its processes share what one of them is told."""
@@ -59,15 +59,15 @@
             why = f"{status} {answer}" if status else why or answer
         return why
 
-    async def ping(self, server: str) -> Result:
+    async def ping(self, server: str) -> ActionResult:
         line = (self.view.listed or {}).get(server) if self.view is not None else None
         if line is None:
-            return Result(False, "not in the list")
+            return ActionResult(False, "not in the list")
         status, answer = await text(line.address, "GET", "/ping")
-        return Result(status == 200, answer if status in (0, 200) else f"{status} to a ping")
+        return ActionResult(status == 200, answer if status in (0, 200) else f"{status} to a ping")
 
 
-async def run(words: list[str], seconds: float) -> Result:
+async def run(words: list[str], seconds: float) -> ActionResult:
     """A command without a shell; what it wrote, or the last line of its errors. It is killed at its limit."""
     parent = os.getpid()
     try:
@@ -80,20 +80,20 @@
             preexec_fn=lambda: end_with(parent),
         )
     except OSError as error:
-        return Result(False, f"{words[0]}: {error.strerror}")
+        return ActionResult(False, f"{words[0]}: {error.strerror}")
     try:
         async with asyncio.timeout(seconds):
             out, errors = await process.communicate()
     except TimeoutError:
         await kill(process)
-        return Result(False, f"{words[0]}: not done after {seconds:g} s", known=False)
+        return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", known=False)
     except BaseException:  # the controller ends: so does what it runs
         await kill(process)
         raise
     last = (errors[-OUTPUT:].decode(errors="replace").strip().splitlines() or [""])[-1]
     if process.returncode:
-        return Result(False, f"{words[0]}: exit code {process.returncode} {last}".strip())
-    return Result(True, out[:OUTPUT].decode(errors="replace").strip())
+        return ActionResult(False, f"{words[0]}: exit code {process.returncode} {last}".strip())
+    return ActionResult(True, out[:OUTPUT].decode(errors="replace").strip())
 
 
 async def kill(process: asyncio.subprocess.Process) -> None:
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -9,7 +9,7 @@
 
 from flaxstep.rollout.farm import Farm, NodeLine
 from flaxstep.rollout.io.http_client import CallError, call, text
-from flaxstep.rollout.snapshot import Answers, Held, Listed, NodeView, Process, View
+from flaxstep.rollout.snapshot import Answers, Listed, NodeView, Process, ServerCounters, Snapshot
 
 MEMBERS = "/catalog/members"
 LIST_TIME = 2.0  # s
@@ -17,11 +17,11 @@
 OUTCOMES = ("succeeded", "declined", "aborted")
 
 
-async def look(farm: Farm, at: float) -> View:
+async def collect_snapshot(farm: Farm, at: float) -> Snapshot:
     nodes, listed = await asyncio.gather(
         asyncio.gather(*(look_at_node(node) for node in farm.nodes)), look_at_list(farm.discovery)
     )
-    return View(at, {node.name: node for node in nodes}, listed)
+    return Snapshot(at, {node.name: node for node in nodes}, listed)
 
 
 async def look_at_node(node: NodeLine) -> NodeView:
@@ -54,12 +54,12 @@
         return f"its figures can't be read: {type(error).__name__}: {error}"
 
 
-def read_held(line: dict[str, Any]) -> Held:
+def read_held(line: dict[str, Any]) -> ServerCounters:
     classes = {
         cls: Answers(told["ok"], told["failed"], told["unstarted"], Counter(dict(map(tuple, told["took"]))))
         for cls, told in line["classes"].items()
     }
-    return Held(line["out"], line.get("cordoned", False), line["started"], classes)
+    return ServerCounters(line["out"], line.get("cordoned", False), line["started"], classes)
 
 
 def read_results(body: bytes) -> dict[str, tuple[int, int, int]]:
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from flaxstep.rollout.actions import CHANGES, Act, Do, Result, Standing
+from flaxstep.rollout.actions import CHANGES, Action, ActionKind, ActionResult, MemberState
 from flaxstep.rollout.plan import Plan
 from flaxstep.rollout.release import Release
 
@@ -64,8 +64,8 @@
     id: int
     plan: Plan
     release: Release
-    members: dict[str, Standing]
-    left: dict[int, Act]
+    members: dict[str, MemberState]
+    left: dict[int, Action]
     began: float
     ended: float | None
 
@@ -164,7 +164,7 @@
 
     # Releases.
 
-    def begin(self, plan: Plan, release: Release, members: Mapping[str, Standing]) -> int:
+    def begin(self, plan: Plan, release: Release, members: Mapping[str, MemberState]) -> int:
         """A new release; its id."""
         text = msgspec.json.encode(plan).decode()
         with self.transaction():
@@ -176,7 +176,7 @@
             self.write_members(number, members)
         return number
 
-    def write_members(self, number: int, members: Mapping[str, Standing]) -> None:
+    def write_members(self, number: int, members: Mapping[str, MemberState]) -> None:
         for member in members.values():
             body = msgspec.json.encode(member)
             if self.saved.get(member.id) != body:
@@ -185,7 +185,7 @@
                 self.db.execute("INSERT OR REPLACE INTO members VALUES (?, ?, ?)", line)
 
     def intend(
-        self, number: int, release: Release, members: Mapping[str, Standing], acts: Sequence[Act]
+        self, number: int, release: Release, members: Mapping[str, MemberState], acts: Sequence[Action]
     ) -> list[int]:
         """State and intents in one; the acts' ids, 0 for those that change nothing."""
         ids: list[int] = []
@@ -203,7 +203,7 @@
             self.save(number, release, members)
         return ids
 
-    def save(self, number: int, release: Release, members: Mapping[str, Standing]) -> None:
+    def save(self, number: int, release: Release, members: Mapping[str, MemberState]) -> None:
         self.db.execute(
             "UPDATE releases SET state = ?, boot = ? WHERE id = ?",
             (msgspec.json.encode(release).decode(), self.boot, number),
@@ -211,7 +211,12 @@
         self.write_members(number, members)
 
     def record(
-        self, number: int, release: Release, members: Mapping[str, Standing], act: int, result: Result
+        self,
+        number: int,
+        release: Release,
+        members: Mapping[str, MemberState],
+        act: int,
+        result: ActionResult,
     ) -> None:
         """What an act came to, and the state that follows from it."""
         with self.transaction():
@@ -222,7 +227,7 @@
                 )
             self.save(number, release, members)
 
-    def end(self, number: int, release: Release, members: Mapping[str, Standing]) -> None:
+    def end(self, number: int, release: Release, members: Mapping[str, MemberState]) -> None:
         with self.transaction():
             self.save(number, release, members)
             self.db.execute("UPDATE releases SET ended = ? WHERE id = ?", (time.time(), number))
@@ -245,7 +250,7 @@
             raise StoreError(f"{self.path}: {error}") from None
         try:
             release: Release = msgspec.json.decode(state, type=Release)
-            members: list[Standing] = [msgspec.json.decode(body, type=Standing) for (body,) in bodies]
+            members: list[MemberState] = [msgspec.json.decode(body, type=MemberState) for (body,) in bodies]
             kept_plan: Plan = msgspec.json.decode(plan, type=Plan)
         except msgspec.MsgspecError as error:
             raise StoreError(f"{self.path}: release {number}: {error}") from None
@@ -253,7 +258,7 @@
             for member in members:
                 member.since, member.asked = clock(), -1e9
             release.waits_since = clock()
-        acts = {at: Act(Do(act), member, version, door) for at, act, member, version, door in left}
+        acts = {at: Action(ActionKind(act), member, version, door) for at, act, member, version, door in left}
         return Kept(number, kept_plan, release, {m.id: m for m in members}, acts, began, ended)
 
     def history(self, number: int) -> list[Line]:
--- a/flaxstep/rollout/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Iterable, Mapping
 
-from flaxstep.rollout.actions import Phase, Standing
+from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.plan import Plan
-from flaxstep.rollout.snapshot import Listed, View
+from flaxstep.rollout.snapshot import Listed, Snapshot
 
 MOST_CRASHES = 2  # of released members, and more than of the others
 AWAY = frozenset({Phase.FINDING, Phase.PROVING, Phase.DOWN})  # listed or not, nobody expects it to serve
 
 
-def meet(members: dict[str, Standing], listed: Mapping[str, Listed], version: str) -> None:
+def meet(members: dict[str, MemberState], listed: Mapping[str, Listed], version: str) -> None:
     """Take up who has left the list, come to it, or started anew without being told to.
 
     Who comes is taken for one of the version before, and goes with the last wave, as nobody planned it.
@@ -36,12 +36,12 @@
     last = max((member.wave for member in members.values()), default=0)
     for line in come:
         note = "came during the release"
-        members[line.id] = Standing(
+        members[line.id] = MemberState(
             line.id, line.zone, line.size, version, wave=last, started=line.started, note=note
         )
 
 
-def broken(members: Iterable[Standing], plan: Plan, served: float | None) -> str:
+def broken(members: Iterable[MemberState], plan: Plan, served: float | None) -> str:
     """What ends a release without any comparison; nothing if nothing does."""
     crashes = {True: 0, False: 0}
     for member in members:
@@ -55,13 +55,13 @@
     return ""
 
 
-def silent(view: View) -> str:
+def silent(view: Snapshot) -> str:
     """Which node does not answer, if one doesn't."""
     found = [node for node in view.nodes.values() if not node.processes]
     return f"node {found[0].name} does not answer: {found[0].why}" if found else ""
 
 
-def unfit(view: View, plan: Plan, served: float | None) -> str:
+def unfit(view: Snapshot, plan: Plan, served: float | None) -> str:
     """Why the farm is in no state for anything new to go out; nothing if it is."""
     if why := silent(view):
         return why
@@ -75,7 +75,9 @@
     return ""
 
 
-def no_room(member: Standing, members: Iterable[Standing], plan: Plan, view: View, back: bool) -> str:
+def no_room(
+    member: MemberState, members: Iterable[MemberState], plan: Plan, view: Snapshot, back: bool
+) -> str:
     """Why a member can't go out now; nothing if it can. Who is out already costs no room.
 
     On the way back one may always go: what it runs is worse than the room it takes.
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -9,63 +9,71 @@
 
 from typing import Protocol
 
-from flaxstep.rollout.actions import Act, Asks, Do, Phase, Result, Standing, Times
-from flaxstep.rollout.snapshot import View
+from flaxstep.rollout.actions import (
+    Action,
+    ActionKind,
+    ActionResult,
+    AvailableCommands,
+    MemberState,
+    Phase,
+    StepTimes,
+)
+from flaxstep.rollout.snapshot import Snapshot
 
 MOST_TRIES = 3  # commands for one member and direction that left no trace
 
 
-class Trip(Protocol):
+class MemberSteps(Protocol):
     """How members of a kind are released."""
 
-    def begin(self, member: Standing, target: str, now: float) -> None: ...
-    def undo(self, member: Standing, now: float, note: str) -> None: ...
-    def step(self, member: Standing, view: View, now: float) -> Act | None: ...
-    def ended(self, member: Standing, act: Act, result: Result, now: float) -> None: ...
-    def recover(self, member: Standing, act: Act, now: float) -> None: ...
+    def begin(self, member: MemberState, target: str, now: float) -> None: ...
+    def undo(self, member: MemberState, now: float, note: str) -> None: ...
+    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None: ...
+    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None: ...
+    def recover(self, member: MemberState, act: Action, now: float) -> None: ...
 
 
 class Steps:
     """What both kinds share: the command, finding out what it did, and the proof."""
 
-    def __init__(self, times: Times, asks: Asks) -> None:
+    def __init__(self, times: StepTimes, asks: AvailableCommands) -> None:
         self.times, self.asks = times, asks
 
-    def paced(self, member: Standing, act: Act, now: float) -> Act | None:
+    def paced(self, member: MemberState, act: Action, now: float) -> Action | None:
         """The act, unless something was asked about the member a moment ago."""
         if now - member.asked < self.times.again:
             return None
         member.asked = now
         return act
 
-    def restart(self, member: Standing, now: float, door: str = "") -> Act:
+    def restart(self, member: MemberState, now: float, door: str = "") -> Action:
         member.lost, member.before = False, member.started
         member.go(Phase.RESTARTING, now)
-        return Act(Do.RUN, member.id, member.target, door)
+        return Action(ActionKind.RUN, member.id, member.target, door)
 
-    def recover(self, member: Standing, act: Act, now: float) -> None:
+    def recover(self, member: MemberState, act: Action, now: float) -> None:
         """An act whose result nobody has. All but the command are simply made again."""
-        if act.do is Do.RUN:
+        if act.do is ActionKind.RUN:
             member.lost = True
             member.go(Phase.FINDING, now, "its command's result was lost with the controller")
 
-    def warming(self, member: Standing, now: float) -> None:
+    def warming(self, member: MemberState, now: float) -> None:
         if now - member.since >= self.times.warm:
             if member.note == "":
                 member.tries = 0
             member.target = ""
             member.go(Phase.SERVING, now)
 
-    def fail(self, member: Standing, now: float, fault: str) -> None:
+    def fail(self, member: MemberState, now: float, fault: str) -> None:
         """It is not fit to serve as what it should be."""
         member.fault = fault
         member.go(Phase.DOWN, now, fault)
 
 
-class ServerTrip(Steps):
+class ServerSteps(Steps):
     """A job server's."""
 
-    def begin(self, member: Standing, target: str, now: float) -> None:
+    def begin(self, member: MemberState, target: str, now: float) -> None:
         """Outward, or straight to the command where it is out already."""
         member.target = target
         member.tries += 1
@@ -74,15 +82,15 @@
         else:
             member.go(Phase.TAKING_OUT, now, "")
 
-    def undo(self, member: Standing, now: float, note: str) -> None:
+    def undo(self, member: MemberState, now: float, note: str) -> None:
         """Before the command: back to service as it was."""
         member.target = member.version
         member.go(Phase.RETURNING, now, note)
 
-    def step(self, member: Standing, view: View, now: float) -> Act | None:
+    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase = member.phase
         if phase is Phase.TAKING_OUT:
-            return Act(Do.CORDON, member.id)
+            return Action(ActionKind.CORDON, member.id)
         if phase is Phase.EMPTYING:
             return self.empty(member, view, now)
         if phase is Phase.AGAIN:
@@ -92,17 +100,17 @@
         if phase is Phase.PROVING:
             return self.prove(member, view, now)
         if phase is Phase.RETURNING:
-            return self.paced(member, Act(Do.UNCORDON, member.id), now)
+            return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
         if phase is Phase.WARMING:
             self.warming(member, now)
         return None
 
-    def empty(self, member: Standing, view: View, now: float) -> Act | None:
+    def empty(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """Nothing in flight, as every node said after the cordon: now the command."""
         out = view.out(member.id) if view.at > member.since else None
         if out is not None and not view.taken_out(member.id):
             member.go(Phase.TAKING_OUT, now)  # a node has started anew and knows nothing of it
-            return Act(Do.CORDON, member.id)
+            return Action(ActionKind.CORDON, member.id)
         if out == 0:
             return self.restart(member, now)
         if now - member.since > self.times.empty:
@@ -110,19 +118,19 @@
             self.undo(member, now, f"not empty after {self.times.empty:g} s: {left}")
         return None
 
-    def again(self, member: Standing, view: View, now: float) -> Act | None:
+    def again(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """Out already, and not fit to come back: taken out once more, as a node may have forgotten."""
         if now - member.since > self.times.empty:
             self.fail(member, now, f"could not be restarted: {member.note or 'requests are in flight there'}")
             return None
         if member.proved == 0:
-            return self.paced(member, Act(Do.CORDON, member.id), now)
+            return self.paced(member, Action(ActionKind.CORDON, member.id), now)
         return self.restart(member, now) if view.out(member.id) == 0 else None
 
-    def find(self, member: Standing, view: View, now: float) -> Act | None:
+    def find(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """What its command did: the version that runs says it, or a start that the list tells of."""
         if self.asks.version:
-            act = self.paced(member, Act(Do.ASK, member.id, member.target), now)
+            act = self.paced(member, Action(ActionKind.ASK, member.id, member.target), now)
         else:
             act = None
             line = (view.listed or {}).get(member.id)
@@ -134,7 +142,7 @@
             return None
         return act
 
-    def without_trace(self, member: Standing, now: float) -> None:
+    def without_trace(self, member: MemberState, now: float) -> None:
         """The command did nothing: it goes back as it was, to be tried again where only the result was
         lost."""
         if not member.lost or member.tries >= MOST_TRIES:
@@ -142,17 +150,17 @@
         member.target, member.before = member.version, -1  # the list owes no news of a start
         member.go(Phase.PROVING, now)
 
-    def prove(self, member: Standing, view: View, now: float) -> Act | None:
+    def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """It answers, runs what it should, answers rightly, and is listed: in that order."""
         if now - member.since > self.times.ready:
             self.fail(member, now, f"not ready {self.times.ready:g} s after its restart: {member.note}")
             return None
         if member.proved == 0:
-            return self.paced(member, Act(Do.PING, member.id), now)
+            return self.paced(member, Action(ActionKind.PING, member.id), now)
         if member.proved == 1 and self.asks.version:
-            return self.paced(member, Act(Do.ASK, member.id, member.target), now)
+            return self.paced(member, Action(ActionKind.ASK, member.id, member.target), now)
         if member.proved <= 2 and self.asks.check:
-            return self.paced(member, Act(Do.CHECK, member.id, member.target), now)
+            return self.paced(member, Action(ActionKind.CHECK, member.id, member.target), now)
         line = (view.listed or {}).get(member.id)
         fresh = line is not None and (line.started != member.before or now - member.since > self.times.settle)
         if line is None or line.lifecycle != "active" or not fresh:
@@ -161,22 +169,22 @@
         member.version, member.started = member.target, line.started
         member.untold = line.started == member.before
         member.go(Phase.RETURNING, now, "")
-        return self.paced(member, Act(Do.UNCORDON, member.id), now)
+        return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
 
-    def ended(self, member: Standing, act: Act, result: Result, now: float) -> None:
-        if act.do is Do.CORDON and member.phase is Phase.AGAIN:
+    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
+        if act.do is ActionKind.CORDON and member.phase is Phase.AGAIN:
             member.proved, member.note = int(result.ok), result.text
-        elif act.do is Do.CORDON:
+        elif act.do is ActionKind.CORDON:
             if result.ok:
                 member.go(Phase.EMPTYING, now)
             else:
                 self.undo(member, now, f"not taken out: {result.text}")
-        elif act.do is Do.UNCORDON:
+        elif act.do is ActionKind.UNCORDON:
             if result.ok:
                 member.go(Phase.WARMING, now)
             else:
                 member.note = f"not called back yet: {result.text}"
-        elif act.do is Do.RUN:
+        elif act.do is ActionKind.RUN:
             member.go(Phase.PROVING if result.ok else Phase.FINDING, now, result.text)
         elif member.phase is Phase.FINDING:
             if result.ok and result.text == member.target:
@@ -184,16 +192,16 @@
         elif member.phase is Phase.PROVING:
             self.proved(member, act, result, now)
 
-    def proved(self, member: Standing, act: Act, result: Result, now: float) -> None:
+    def proved(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
         member.note = "" if result.ok else result.text
-        if act.do is Do.PING and result.ok:
+        if act.do is ActionKind.PING and result.ok:
             member.proved = 1
-        elif act.do is Do.ASK and result.ok:
+        elif act.do is ActionKind.ASK and result.ok:
             if result.text == member.target:
                 member.proved = 2
             else:
                 member.note = f"it runs {result.text}, not {member.target}"
-        elif act.do is Do.CHECK:
+        elif act.do is ActionKind.CHECK:
             if result.ok:
                 member.proved = 3
             elif result.known:
@@ -201,24 +209,24 @@
                 self.fail(member, now, f"it answers wrongly: {result.text}")
 
 
-class NodeTrip(Steps):
+class NodeSteps(Steps):
     """A node's: nothing is out at any time, if all goes well."""
 
-    def begin(self, member: Standing, target: str, now: float) -> None:
+    def begin(self, member: MemberState, target: str, now: float) -> None:
         member.target = target
         member.tries += 1
         member.go(Phase.EMPTYING, now, "")
 
-    def undo(self, member: Standing, now: float, note: str) -> None:
+    def undo(self, member: MemberState, now: float, note: str) -> None:
         member.target = ""
         member.go(Phase.SERVING, now, note)
 
-    def doors(self, member: Standing) -> tuple[str, str]:
+    def doors(self, member: MemberState) -> tuple[str, str]:
         """Where the process that serves has its door, and where a successor gets it."""
         doors = self.asks.doors[member.id]
         return doors[member.door], doors[(member.door + 1) % len(doors)]
 
-    def step(self, member: Standing, view: View, now: float) -> Act | None:
+    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase, node = member.phase, view.nodes[member.id]
         if phase is Phase.EMPTYING and node.processes and node.at(self.doors(member)[0]) is None:
             member.door = self.asks.doors[member.id].index(node.processes[0].door)  # restarted by others
@@ -239,16 +247,16 @@
         if phase is Phase.PROVING:
             return self.prove(member, view, now)
         if phase is Phase.HANDING:
-            return self.paced(member, Act(Do.STOP, member.id, member.version, before), now)
+            return self.paced(member, Action(ActionKind.STOP, member.id, member.version, before), now)
         if phase is Phase.LEAVING:
             self.leave(member, view, now)
         if phase is Phase.DOWN:  # its second process never said yes: it ends, the first serves on
-            return self.paced(member, Act(Do.STOP, member.id, member.target, after), now)
+            return self.paced(member, Action(ActionKind.STOP, member.id, member.target, after), now)
         if phase is Phase.WARMING:
             self.warming(member, now)
         return None
 
-    def prove(self, member: Standing, view: View, now: float) -> Act | None:
+    def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         _, after = self.doors(member)
         process = view.nodes[member.id].at(after)
         if now - member.since > self.times.ready:
@@ -257,13 +265,13 @@
             self.fail(member, now, fault)
         elif process is not None and process.ready:
             if member.proved == 0 and self.asks.version:
-                return self.paced(member, Act(Do.ASK, member.id, member.target, after), now)
+                return self.paced(member, Action(ActionKind.ASK, member.id, member.target, after), now)
             if member.proved <= 1 and self.asks.check:
-                return self.paced(member, Act(Do.CHECK, member.id, member.target, after), now)
+                return self.paced(member, Action(ActionKind.CHECK, member.id, member.target, after), now)
             member.go(Phase.HANDING, now, "")
         return None
 
-    def leave(self, member: Standing, view: View, now: float) -> None:
+    def leave(self, member: MemberState, view: Snapshot, now: float) -> None:
         """The process before is gone from its door, and the new one serves."""
         before, after = self.doors(member)
         node = view.nodes[member.id]
@@ -275,24 +283,24 @@
             member.fault = "two processes of it run on, though the first was told to end"
             member.go(Phase.HANDING, now, member.fault)
 
-    def ended(self, member: Standing, act: Act, result: Result, now: float) -> None:
-        if act.do is Do.RUN:
+    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
+        if act.do is ActionKind.RUN:
             member.go(Phase.PROVING if result.ok else Phase.FINDING, now, result.text)
-        elif act.do is Do.STOP and member.phase is Phase.HANDING:
+        elif act.do is ActionKind.STOP and member.phase is Phase.HANDING:
             member.note = "" if result.ok else f"not told to end: {result.text}"
             if result.ok:
                 member.go(Phase.LEAVING, now)
             elif now - member.since > self.times.ready:  # the new one serves; it must not be ended now
                 member.fault = member.note
-        elif act.do is Do.STOP and member.phase is Phase.DOWN:
+        elif act.do is ActionKind.STOP and member.phase is Phase.DOWN:
             if result.ok:
                 self.undo(member, now, member.note)
-        elif act.do is Do.ASK:
+        elif act.do is ActionKind.ASK:
             if result.ok and result.text == member.target:
                 member.proved = 1
             else:
                 member.note = f"it says {result.text}, not {member.target}"
-        elif act.do is Do.CHECK:
+        elif act.do is ActionKind.CHECK:
             if result.ok:
                 member.proved = 2
             elif result.known:
--- a/flaxstep/rollout/release.py
+++ b/flaxstep/rollout/release.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from flaxstep.rollout.actions import Phase, Standing
+from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.evidence import Mark
 from flaxstep.rollout.plan import Member, Plan, waves
 
@@ -49,16 +49,16 @@
     bets: dict[str, object] = {}
 
 
-class Line:
+class WaveMembers:
     """A release's members as its plan lines them up."""
 
-    def __init__(self, plan: Plan, release: Release, members: dict[str, Standing]) -> None:
+    def __init__(self, plan: Plan, release: Release, members: dict[str, MemberState]) -> None:
         self.plan, self.release, self.members = plan, release, members
 
-    def all(self) -> Iterable[Standing]:
+    def all(self) -> Iterable[MemberState]:
         return self.members.values()
 
-    def wave(self) -> list[Standing]:
+    def wave(self) -> list[MemberState]:
         """The members of the wave that is under way."""
         return [m for m in self.all() if m.wave == self.release.wave and m.phase is not Phase.GONE]
 
@@ -74,10 +74,10 @@
         return any(m.version != self.plan.to and m.phase is Phase.SERVING for m in self.all())
 
 
-def line_up(plan: Plan, members: list[Member]) -> dict[str, Standing]:
+def line_up(plan: Plan, members: list[Member]) -> dict[str, MemberState]:
     """The members of a plan's waves, each with its wave."""
     return {
-        member.id: Standing(member.id, member.zone, member.size, plan.from_, wave=number)
+        member.id: MemberState(member.id, member.zone, member.size, plan.from_, wave=number)
         for number, wave in enumerate(waves(plan, members))
         for member in wave.members
     }
--- a/flaxstep/rollout/snapshot.py
+++ b/flaxstep/rollout/snapshot.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class ServerCounters:
     """What one process of a node knows of a listed server."""
 
     out: int  # attempts
@@ -35,7 +35,7 @@
 
     door: str
     health: str  # "ready", or what else it said
-    servers: dict[str, Held]
+    servers: dict[str, ServerCounters]
     results: dict[str, tuple[int, int, int]]
     tells: bool = True  # of job servers; a node of an older version can't
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class Snapshot:
     """The farm as one look shows it. `listed` is None where the list did not answer."""
 
     at: float  # s, when the look began
@@ -95,7 +95,7 @@
         """Whether it is out by hand at every node that lists it."""
         return all(held.cordoned for held in self.held(server))
 
-    def held(self, server: str) -> Iterator[Held]:
+    def held(self, server: str) -> Iterator[ServerCounters]:
         """What each process of each node knows of a server."""
         for node in self.nodes.values():
             yield from (p.servers[server] for p in node.processes if server in p.servers)
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -8,37 +8,51 @@
 
 from collections.abc import Iterable, Iterator, Mapping
 
-from flaxstep.rollout.actions import OUTWARD, Act, Asks, Phase, Result, Standing, Times
+from flaxstep.rollout.actions import (
+    OUTWARD,
+    Action,
+    ActionResult,
+    AvailableCommands,
+    MemberState,
+    Phase,
+    StepTimes,
+)
 from flaxstep.rollout.limits import broken, meet, no_room, silent, unfit
-from flaxstep.rollout.member_steps import NodeTrip, ServerTrip, Trip
+from flaxstep.rollout.member_steps import MemberSteps, NodeSteps, ServerSteps
 from flaxstep.rollout.plan import Plan
-from flaxstep.rollout.release import ENDED, RUNNING, Line, Release, State
-from flaxstep.rollout.snapshot import View
-from flaxstep.rollout.wave_evaluation import Scales
+from flaxstep.rollout.release import ENDED, RUNNING, Release, State, WaveMembers
+from flaxstep.rollout.snapshot import Snapshot
+from flaxstep.rollout.wave_evaluation import WaveEvaluation
 
 LOW_TIME = 30.0  # s: bursts end sooner, and are no version's fault
 MOST_TRIES = 4  # trips of one member that came to nothing, for reasons of the farm's
 
 
-class Course:
+class ReleaseStateMachine:
     """A release of a plan among members. `doors` are the nodes', by name."""
 
     def __init__(
-        self, plan: Plan, release: Release, members: dict[str, Standing], doors: Mapping[str, tuple[str, ...]]
+        self,
+        plan: Plan,
+        release: Release,
+        members: dict[str, MemberState],
+        doors: Mapping[str, tuple[str, ...]],
     ) -> None:
         self.plan, self.release, self.members = plan, release, members
         watch, commands = plan.watch, plan.commands
-        times = Times(
+        times = StepTimes(
             commands.time_limit_s, commands.ready_s, watch.empty_s, watch.warm_s, again=0.9 * watch.look_s
         )
-        asks = Asks(commands.version is not None, commands.check is not None, dict(doors))
-        self.trip: Trip = ServerTrip(times, asks) if plan.what == "servers" else NodeTrip(times, asks)
-        self.line = Line(plan, release, members)
-        self.scales = Scales(self.line)
+        asks = AvailableCommands(commands.version is not None, commands.check is not None, dict(doors))
+        self.trip: MemberSteps = (
+            ServerSteps(times, asks) if plan.what == "servers" else NodeSteps(times, asks)
+        )
+        self.line = WaveMembers(plan, release, members)
+        self.scales = WaveEvaluation(self.line)
 
     # What a look brings.
 
-    def tick(self, now: float, view: View) -> list[Act]:
+    def tick(self, now: float, view: Snapshot) -> list[Action]:
         """What is to be done now."""
         passed = now - self.release.looked if self.release.looked >= 0 else 0.0
         self.release.looked = now
@@ -73,7 +87,7 @@
 
     # What is under way.
 
-    def go_on(self, view: View, now: float) -> Iterator[Act]:
+    def go_on(self, view: Snapshot, now: float) -> Iterator[Action]:
         """The next step of each member that is between two versions."""
         state = self.release.state
         wanted = {State.ROLLING: self.plan.to, State.GOING_BACK: self.plan.from_}.get(state)
@@ -86,11 +100,11 @@
             if act is not None:
                 yield act
 
-    def ended(self, act: Act, result: Result, now: float) -> None:
+    def ended(self, act: Action, result: ActionResult, now: float) -> None:
         """What an act came to."""
         self.trip.ended(self.members[act.member], act, result, now)
 
-    def pick_up(self, left: Iterable[Act], now: float) -> None:
+    def pick_up(self, left: Iterable[Action], now: float) -> None:
         """Go on where a controller that was killed has stopped. `left`: its acts that have no result."""
         self.release.looked, self.release.waiting = -1.0, ""
         for member in self.members.values():
@@ -108,7 +122,7 @@
         if release.measured > watch.before_s + watch.wait_s:
             self.end(State.GAVE_UP, f"only {release.answers} answers to measure before the release")
 
-    def roll(self, view: View, now: float) -> None:
+    def roll(self, view: Snapshot, now: float) -> None:
         """Send the next members out, or watch the wave, or end."""
         release = self.release
         if release.doubted >= 0:
@@ -124,7 +138,7 @@
                 return
         self.wait(unfit(view, self.plan, release.served) or self.next_out(view, self.plan.to, now), now)
 
-    def next_out(self, view: View, version: str, now: float) -> str:
+    def next_out(self, view: Snapshot, version: str, now: float) -> str:
         """Begin the trips of as many as there is room for; or why not even one, if none is under way."""
         reason = ""
         for member in self.candidates(version):
@@ -140,7 +154,7 @@
         at_rest = (Phase.SERVING, Phase.DOWN, Phase.GONE)
         return reason if all(m.phase in at_rest for m in self.members.values()) else ""
 
-    def candidates(self, version: str) -> list[Standing]:
+    def candidates(self, version: str) -> list[MemberState]:
         """Who may set out for a version now, in this order."""
         if version == self.plan.to:
             may = {Phase.SERVING, Phase.DOWN}
@@ -153,7 +167,7 @@
         back = [m for m in back if m.phase in may and not m.open and not self.stuck(m)]
         return sorted(back, key=lambda m: (not m.out, m.phase is Phase.SERVING, m.size, m.id))
 
-    def stuck(self, member: Standing) -> bool:
+    def stuck(self, member: MemberState) -> bool:
         """It could not be brought back to the version before either."""
         return member.phase is Phase.DOWN and member.target == self.plan.from_
 
@@ -180,7 +194,7 @@
         for member in self.members.values():
             member.fault, member.tries = "", 0
 
-    def go_back(self, view: View, now: float) -> None:
+    def go_back(self, view: Snapshot, now: float) -> None:
         for member in self.members.values():
             if member.phase is Phase.PROVING and member.target == self.plan.to and not member.open:
                 member.go(Phase.DOWN, now, "the release goes back")  # no need to call it back first
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -3,24 +3,24 @@
 from __future__ import annotations
 
 from flaxstep.rollout.actions import Phase
-from flaxstep.rollout.canary_analysis import Finding, Judge, Opinion
+from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Opinion
 from flaxstep.rollout.evidence import Evidence
-from flaxstep.rollout.release import Line, State
-from flaxstep.rollout.snapshot import View
+from flaxstep.rollout.release import State, WaveMembers
+from flaxstep.rollout.snapshot import Snapshot
 
 LEAST_BEFORE = 50  # answers to measure before the release begins
 UNSURE = 2.0  # a stake over this: a wave is watched for up to so many times its time
 MOST_BAKE = 3.0
 
 
-class Scales:
+class WaveEvaluation:
     """Keeps in the release what a controller that comes after needs to go on."""
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: WaveMembers) -> None:
         self.line, self.plan, self.release = line, line.plan, line.release
         watch, release = self.plan.watch, self.release
         self.evidence = Evidence(self.plan.what, watch.slower, self.plan.room.worths)
-        self.judge = Judge(watch.false_halt, watch.failures)
+        self.judge = CanaryAnalysis(watch.false_halt, watch.failures)
         if release.marks or release.pooled:
             self.evidence.remember(release.marks, release.pooled)
         else:
@@ -30,10 +30,10 @@
 
     def anew(self) -> None:
         """Staff have seen what spoke against the version, and want it judged from here on."""
-        self.judge = Judge(self.plan.watch.false_halt, self.plan.watch.failures)
+        self.judge = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
         self.release.doubted = -1.0
 
-    def look(self, view: View, passed: float, now: float) -> str:
+    def look(self, view: Snapshot, passed: float, now: float) -> str:
         """Take a look's figures up. Why the version is bad, if it is."""
         release, found = self.release, self.evidence.take(view)
         release.served = self.evidence.served()
--- a/flaxstep/simulator/fault_config.py
+++ b/flaxstep/simulator/fault_config.py
@@ -71,7 +71,7 @@
     crash_s: Natural = 0.0  # after which it ends, and is started again; 0: never
 
 
-class Rigging(Table, frozen=True):
+class FaultConfig(Table, frozen=True):
     """What the rig needs to know beyond what the lab does."""
 
     regions: dict[str, list[int]] = {}  # zones by region
--- a/flaxstep/simulator/job_servers.py
+++ b/flaxstep/simulator/job_servers.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class WorkTotals:
     """What servers of a day did, in ms of work."""
 
     useful: float = 0.0  # for answers that served
@@ -102,7 +102,7 @@
         plan: ServerPlan,
         choke: ChokePlan,
         tip: tuple[float, float, float],
-        tally: Tally,
+        tally: WorkTotals,
         chance: Chance,
         answer: Callable[[Attempt, Result], None],
     ) -> None:
--- a/flaxstep/simulator/runner.py
+++ b/flaxstep/simulator/runner.py
@@ -19,7 +19,7 @@
 from flaxstep.simulator.scenario import Scenario
 from flaxstep.simulator.scheduled_events import begin
 from flaxstep.simulator.simulated_node import Module
-from flaxstep.simulator.simulation import MakePolicy, Run, World
+from flaxstep.simulator.simulation import MakePolicy, Run, Simulation
 
 ROOT = Path(__file__).resolve().parents[2]
 HERE = "here"
@@ -56,7 +56,7 @@
 
 def play(scenario: Scenario, seed: int, module: Player) -> Run:
     """One day. The same scenario, seed and module give the same result, to the byte."""
-    world = World(scenario, seed, module.make, module.knows)
+    world = Simulation(scenario, seed, module.make, module.knows)
     world.play(partial(begin, world))
     return world.result(module.name)
 
--- a/flaxstep/simulator/scenario.py
+++ b/flaxstep/simulator/scenario.py
@@ -13,7 +13,7 @@
 from msgspec import Meta
 
 from flaxstep.simulator.config_types import Natural, Part, Positive, Range, Span, Table
-from flaxstep.simulator.fault_config import Rigging, fault_error
+from flaxstep.simulator.fault_config import FaultConfig, fault_error
 
 
 class ScenarioError(Exception):
@@ -235,7 +235,7 @@
     tenants: list[Tenant] = []
     troubles: list[Trouble] = []
     acts: list[Act] = []
-    rig: Rigging = Rigging()  # what only processes and sockets have
+    rig: FaultConfig = FaultConfig()  # what only processes and sockets have
 
 
 def read_scenario(path: Path) -> Scenario:
--- a/flaxstep/simulator/scoring.py
+++ b/flaxstep/simulator/scoring.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Judge:
+class Scorer:
     scenario: Scenario
     seconds: int
     asked: list[float] = field(default_factory=list)  # worth by second of the first try
--- a/flaxstep/simulator/simulated_node.py
+++ b/flaxstep/simulator/simulated_node.py
@@ -25,10 +25,10 @@
     Withdrawn,
 )
 from flaxstep.simulator.engine import Engine
-from flaxstep.simulator.job_servers import NEVER, Attempt, Server, Tally
+from flaxstep.simulator.job_servers import NEVER, Attempt, Server, WorkTotals
 from flaxstep.simulator.sampling import Plan
 from flaxstep.simulator.scenario import Scenario
-from flaxstep.simulator.scoring import Judge
+from flaxstep.simulator.scoring import Scorer
 
 PROBE_TIME = 120.0  # ms after which a probe has failed
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Try:
+class ClientTry:
     """One try of a client."""
 
     first: int  # its first try's place among the day's
@@ -50,7 +50,7 @@
     zone: int
     began: float  # of the first try
     due: float
-    process: Process | None = None
+    process: SimulatedNode | None = None
     id: int = 0  # the process's number for it
     sends: int = 0
     over: bool = False  # answered or given up, for the client
@@ -61,23 +61,23 @@
 class Callers(Protocol):
     """What a process tells the clients."""
 
-    def served(self, request: Try) -> None: ...
-    def refused(self, request: Try, wait: float, process: Process) -> None: ...
-    def failed(self, request: Try) -> None: ...
-    def unreachable(self, request: Try) -> None: ...
-    def cut_off(self, request: Try) -> None: ...
+    def served(self, request: ClientTry) -> None: ...
+    def refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None: ...
+    def failed(self, request: ClientTry) -> None: ...
+    def unreachable(self, request: ClientTry) -> None: ...
+    def cut_off(self, request: ClientTry) -> None: ...
 
 
 class Lists(Protocol):
     """Discovery, as a process calls it."""
 
-    def call(self, process: Process) -> None: ...
+    def call(self, process: SimulatedNode) -> None: ...
 
 
 class Datagrams(Protocol):
     """The way to other nodes."""
 
-    def send(self, sender: Process, peer: int, data: bytes) -> None: ...
+    def send(self, sender: SimulatedNode, peer: int, data: bytes) -> None: ...
 
 
 class Farm(Protocol):
@@ -86,13 +86,14 @@
     scenario: Scenario
     plan: Plan
     engine: Engine
-    judge: Judge
-    tally: Tally
+    judge: Scorer
+    tally: WorkTotals
     servers: list[Server]
     by_id: dict[int, Server]
     logs: list[tuple[float, int, str]]
-    on_attempt: Callable[[Process, Attempt, Result, float], None] | None  # a release counts what nodes see
-    on_answer: Callable[[Process, int, int], None] | None
+    # A release counts what nodes see.
+    on_attempt: Callable[[SimulatedNode, Attempt, Result, float], None] | None
+    on_answer: Callable[[SimulatedNode, int, int], None] | None
     client_ms: float
     dial_ms: float
     idle_ms: float
@@ -111,16 +112,16 @@
     def knows(self, event: str) -> bool: ...
     def one_way(self, zone: int, other: int) -> float: ...
     def is_cut(self, zone: int, other: int) -> bool: ...
-    def breach(self, rule: str, node: int, request: Try, server: int, what: str) -> None: ...
+    def breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None: ...
 
 
-class Process:
+class SimulatedNode:
     """One process of a node."""
 
     def __init__(self, world: Farm, node: int, seed: int) -> None:
         self.world, self.node, self.zone = world, node, world.plan.node_zones[node]
         self.alive, self.stopping = True, False
-        self.held: dict[int, Try] = {}
+        self.held: dict[int, ClientTry] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # out, by request and number
         self.last_id = 0
         self.subscribed = False
@@ -155,7 +156,7 @@
         if kind is not None and self.alive and self.world.knows(name):
             self.tell(kind(*values))
 
-    def take(self, request: Try) -> None:
+    def take(self, request: ClientTry) -> None:
         """A request has come whole."""
         world = self.world
         if not self.alive:
@@ -169,7 +170,7 @@
         due = request.due - world.scenario.margin_ms
         self.tell(Request(request.id, request.cls, due, 0, request.tenant))
 
-    def leave(self, request: Try) -> None:
+    def leave(self, request: ClientTry) -> None:
         """The client has gone, or waits no longer."""
         if not self.alive or self.held.pop(request.id, None) is None:
             return
@@ -226,7 +227,7 @@
             attempt.work += world.handshake_work
         world.engine.after(way, server.arrive, attempt)
 
-    def judge_send(self, request: Try, server_id: int) -> None:
+    def judge_send(self, request: ClientTry, server_id: int) -> None:
         world, now = self.world, self.world.engine.now
         rules = world.scenario.rules
         if request.out:
@@ -264,7 +265,7 @@
             self.count(request, 2)
             self.world.engine.after(self.world.client_ms, self.world.clients.failed, request)
 
-    def count(self, request: Try, which: int) -> None:
+    def count(self, request: ClientTry, which: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
         if self.world.on_answer is not None:
             self.world.on_answer(self, request.cls, which)
--- a/flaxstep/simulator/simulation.py
+++ b/flaxstep/simulator/simulation.py
@@ -19,11 +19,11 @@
     State,
 )
 from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import TICK, Attempt, Server, Tally
+from flaxstep.simulator.job_servers import TICK, Attempt, Server, WorkTotals
 from flaxstep.simulator.sampling import Happening, Plan, draw_plan
 from flaxstep.simulator.scenario import Scenario
-from flaxstep.simulator.scoring import Breach, Judge, Verdict
-from flaxstep.simulator.simulated_node import Module, Process, Try
+from flaxstep.simulator.scoring import Breach, Scorer, Verdict
+from flaxstep.simulator.simulated_node import ClientTry, Module, SimulatedNode
 
 LOOK = 250.0  # ms between samples of what nodes believe and what is true
 AFTER = 3000.0  # ms for which a day runs on, until all is answered
@@ -79,7 +79,7 @@
 class Front:
     """Deals tries out over the nodes of a zone that it thinks are there."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: Simulation) -> None:
         self.world = world
         self.believed = [True] * len(world.plan.node_zones)
         self.by_zone: dict[int, list[int]] = {}
@@ -97,7 +97,7 @@
             self.believed[node] = there
             self.settle()
 
-    def pick(self, request: Try) -> Process | None:
+    def pick(self, request: ClientTry) -> SimulatedNode | None:
         nodes = self.by_zone[request.zone] or self.anywhere
         if not nodes:
             return None
@@ -110,7 +110,7 @@
 class Clients:
     """Sends the day's first tries, open loop, and tries again as clients do."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: Simulation) -> None:
         self.world = world
         figures = world.plan.figures
         self.share, self.backoff = figures["clients.try_share"], figures["clients.backoff_ms"]
@@ -158,7 +158,7 @@
         world, tries = self.world, self.world.plan.tries
         wanted, now = world.scenario.classes[tries.cls[i]], world.engine.now
         due = min(now + self.share * wanted.deadline_ms, began + wanted.deadline_ms)
-        request = Try(i, number, tries.cls[i], tries.tenant[i], tries.zone[i], began, due)
+        request = ClientTry(i, number, tries.cls[i], tries.tenant[i], tries.zone[i], began, due)
         world.judge.tries += 1
         world.engine.at(due, self.give_up, request)
         process = world.front.pick(request)
@@ -167,7 +167,7 @@
         else:
             world.engine.after(world.client_ms, process.take, request)
 
-    def give_up(self, request: Try) -> None:
+    def give_up(self, request: ClientTry) -> None:
         if request.over:
             return
         request.over = True
@@ -178,7 +178,7 @@
             world.engine.after(slack + 2 * world.client_ms, request.process.leave, request)
         self.lose(request)
 
-    def served(self, request: Try) -> None:
+    def served(self, request: ClientTry) -> None:
         if request.over:
             return
         request.over = True
@@ -191,7 +191,7 @@
         worth = wanted.worth * (1.0 if inside else world.scenario.load.over_share_worth)
         world.judge.earn(second, request.cls, request.tenant, part * worth, inside)
 
-    def refused(self, request: Try, wait: float, process: Process) -> None:
+    def refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None:
         if request.over:
             return
         world = self.world
@@ -200,7 +200,7 @@
         heeds = world.honours(request.first, self.honour)
         self.again(request, max(self.backoff, wait) if heeds else self.backoff)
 
-    def failed(self, request: Try) -> None:
+    def failed(self, request: ClientTry) -> None:
         """Clients try a failed request again only where a repeat does no harm."""
         if request.over:
             return
@@ -213,13 +213,13 @@
             request.over = True
             self.lose(request)
 
-    def unreachable(self, request: Try) -> None:
+    def unreachable(self, request: ClientTry) -> None:
         if not request.over:
             self.again(request, self.backoff)
 
     cut_off = failed
 
-    def again(self, request: Try, wait: float) -> None:
+    def again(self, request: ClientTry, wait: float) -> None:
         """The next try of a client whose last one proves that it never ran."""
         world, wanted = self.world, self.world.scenario.classes[request.cls]
         request.over = True
@@ -231,7 +231,7 @@
         else:
             self.lose(request)
 
-    def lose(self, request: Try) -> None:
+    def lose(self, request: ClientTry) -> None:
         world, wanted = self.world, self.world.scenario.classes[request.cls]
         self.counts.unserved[request.cls] += 1
         if world.engine.now > request.began + wanted.aim_ms:
@@ -242,13 +242,13 @@
 class Discovery:
     """The server list: late, and one service for all nodes."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: Simulation) -> None:
         self.world = world
         self.chance = world.streams.chance("discovery")
         self.figures = world.plan.figures
         self.entries: dict[int, ServerEntry] = {s.id: self.entry(s) for s in world.servers}
         self.version = 1
-        self.watching: list[Process] = []
+        self.watching: list[SimulatedNode] = []
         self.free = [0.0] * max(1, int(self.figures["discovery.capacity"]))  # when each of its hands is free
 
     @staticmethod
@@ -258,7 +258,7 @@
             server.id, plan.zone, plan.kind, plan.cell, state or server.state, 1.0, server.started
         )
 
-    def call(self, process: Process) -> None:
+    def call(self, process: SimulatedNode) -> None:
         """A node asks for the list and its changes."""
         engine, listing = self.world.engine, self.world.scenario.discovery
         hand = min(range(len(self.free)), key=self.free.__getitem__)
@@ -269,7 +269,7 @@
         self.free[hand] = begins + self.figures["discovery.call_ms"]
         engine.at(self.free[hand], self.answer, process)
 
-    def answer(self, process: Process) -> None:
+    def answer(self, process: SimulatedNode) -> None:
         if process.alive:
             if process not in self.watching:
                 self.watching.append(process)
@@ -294,11 +294,11 @@
 class Peers:
     """Datagrams between nodes, late or lost."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: Simulation) -> None:
         self.world = world
         self.chance = world.streams.chance("peers")
 
-    def send(self, sender: Process, peer: int, data: bytes) -> None:
+    def send(self, sender: SimulatedNode, peer: int, data: bytes) -> None:
         world, peers = self.world, self.world.scenario.peers
         if len(data) > 256:
             raise ValueError(f"a datagram of {len(data)} bytes")
@@ -315,7 +315,7 @@
                 world.engine.after(late, process.tell_alive, PeerMessage(sender.node, data))
 
 
-class World:
+class Simulation:
     """A day of the farm, ready to be played once."""
 
     def __init__(self, scenario: Scenario, seed: int, make: MakePolicy, knows: Callable[[str], bool]) -> None:
@@ -324,7 +324,7 @@
         self.engine, self.streams = Engine(), Streams(seed)
         plan, figures = self.plan, self.plan.figures
         self.seconds = int(plan.length / 1000) + 1
-        self.judge, self.tally = Judge(scenario, self.seconds), Tally()
+        self.judge, self.tally = Scorer(scenario, self.seconds), WorkTotals()
         self.client_ms = figures["net.client_ms"]
         self.dial_ms, self.idle_ms = scenario.conn.dial_timeout_ms, 1000.0 * scenario.conn.idle_s
         self.handshake_rtts = figures["conn.handshake_rtts"]
@@ -334,8 +334,8 @@
         self.cut: set[int] = set()  # zones cut off from the others
         self.mean_work = sum(plan.tries.work) / max(1, len(plan.tries.work))
         self.logs: list[tuple[float, int, str]] = []
-        self.on_attempt: Callable[[Process, Attempt, Result, float], None] | None = None
-        self.on_answer: Callable[[Process, int, int], None] | None = None
+        self.on_attempt: Callable[[SimulatedNode, Attempt, Result, float], None] | None = None
+        self.on_answer: Callable[[SimulatedNode, int, int], None] | None = None
         self.samples: list[Sample] = []
         self.happened: list[tuple[str, float, float]] = []
         rules = scenario.rules
@@ -352,7 +352,7 @@
         self.discovery, self.peers = Discovery(self), Peers(self)
         seeds = self.streams.generator("nodes")
         self.seeds = [int(x) for x in seeds.integers(1 << 62, size=64 * len(plan.node_zones))]
-        self.processes: list[list[Process]] = [[] for _ in plan.node_zones]
+        self.processes: list[list[SimulatedNode]] = [[] for _ in plan.node_zones]
         self.front, self.clients = Front(self), Clients(self)
         for node in range(len(self.processes)):
             self.start(node)
@@ -439,19 +439,21 @@
         """Whether the client of a first try heeds Retry-After; the same under any policy."""
         return (first * 2246822519 >> 5) % 1000 < 1000 * part
 
-    def breach(self, rule: str, node: int, request: Try, server: int, what: str) -> None:
+    def breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None:
         self.judge.breach(rule, self.engine.now, node, request.id, server, what)
 
     # Processes of nodes.
 
-    def start(self, node: int) -> Process:
+    def start(self, node: int) -> SimulatedNode:
         """A process of a node starts with the list as it stood long ago, and asks for it."""
-        process = Process(self, node, self.seeds[len(self.processes[node]) + 61 * node % len(self.seeds)])
+        process = SimulatedNode(
+            self, node, self.seeds[len(self.processes[node]) + 61 * node % len(self.seeds)]
+        )
         self.processes[node].append(process)
         process.list(ListKind.CACHED, 1, list(self.discovery.entries.values()))
         return process
 
-    def end(self, process: Process) -> None:
+    def end(self, process: SimulatedNode) -> None:
         process.die()
         if process in self.processes[process.node]:
             self.processes[process.node].remove(process)
@@ -522,7 +524,7 @@
         )
 
 
-def believed(process: Process) -> dict[str, float]:
+def believed(process: SimulatedNode) -> dict[str, float]:
     """What a node's module believes, where it has such figures."""
     policy = process.policy
     names = ("in_flight", "need", "x", "cut", "errors", "rate", "best_rate", "mean", "least", "warm")
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -10,41 +10,41 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from flaxstep.proxy.metrics import ServerFigures
-from flaxstep.rollout.actions import Act, Do, Result
+from flaxstep.proxy.metrics import ServerMetrics
+from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.plan import Member, Plan
 from flaxstep.rollout.release import Release, State, line_up
-from flaxstep.rollout.snapshot import Answers, Held, Listed, NodeView, View
+from flaxstep.rollout.snapshot import Answers, Listed, NodeView, ServerCounters, Snapshot
 from flaxstep.rollout.snapshot import Process as Told
-from flaxstep.rollout.state_machine import Course
+from flaxstep.rollout.state_machine import ReleaseStateMachine
 from flaxstep.routing.interface import Result as Ended
 from flaxstep.routing.interface import State as Lifecycle
 from flaxstep.simulator.engine import Chance
 from flaxstep.simulator.fault_config import Figures
 from flaxstep.simulator.job_servers import Attempt
-from flaxstep.simulator.simulated_node import Process
-from flaxstep.simulator.simulation import World
+from flaxstep.simulator.simulated_node import SimulatedNode
+from flaxstep.simulator.simulation import Simulation
 
 CALL_MS = 5.0  # a call at a door
 
 
-class LabRelease:
+class SimulatedRollout:
     """A release of the world's job servers; `to` is how the version differs, `chance` when commands end."""
 
-    def __init__(self, world: World, plan: Plan, to: Figures, chance: Chance) -> None:
+    def __init__(self, world: Simulation, plan: Plan, to: Figures, chance: Chance) -> None:
         self.world, self.plan, self.to, self.chance = world, plan, to, chance
         self.servers = {str(server.plan.number): server for server in world.servers}
         self.whole = {name: server.plan for name, server in self.servers.items()}
         self.runs = dict.fromkeys(self.servers, plan.from_)
         self.classes = [c.name for c in world.scenario.classes]
-        self.figures: dict[Process, ServerFigures] = {}
-        self.results: dict[Process, list[list[int]]] = {}
+        self.figures: dict[SimulatedNode, ServerMetrics] = {}
+        self.results: dict[SimulatedNode, list[list[int]]] = {}
         members = [
             Member(name, str(s.plan.zone), s.plan.cores * s.plan.speed) for name, s in self.servers.items()
         ]
         self.release, self.standings = Release(), line_up(plan, members)
         doors = {str(node): (str(node),) for node in range(len(world.processes))}
-        self.course = Course(plan, self.release, self.standings, doors)
+        self.course = ReleaseStateMachine(plan, self.release, self.standings, doors)
         self.ended_at = float("inf")
         self.most_out = 0
         self.halted_with = 0  # members that had the version when it was found bad
@@ -54,21 +54,21 @@
 
     # What nodes count.
 
-    def known(self, process: Process) -> ServerFigures:
+    def known(self, process: SimulatedNode) -> ServerMetrics:
         """A process's figures of job servers, which begin anew where its list tells of a new start."""
         figures = self.figures.get(process)
         if figures is None:
-            figures = self.figures[process] = ServerFigures(self.classes)
+            figures = self.figures[process] = ServerMetrics(self.classes)
         return figures
 
-    def attempt_ended(self, process: Process, attempt: Attempt, result: Ended, took: float) -> None:
+    def attempt_ended(self, process: SimulatedNode, attempt: Attempt, result: Ended, took: float) -> None:
         server = self.world.servers[attempt.server]
         figures = self.known(process)
         if attempt.server not in figures.servers:
             figures.listed(attempt.server, str(attempt.server), server.started)
         figures.ended(attempt.server, attempt.cls, result, took)
 
-    def answered(self, process: Process, cls: int, which: int) -> None:
+    def answered(self, process: SimulatedNode, cls: int, which: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
         counts = self.results.setdefault(process, [[0, 0, 0] for _ in self.classes])
         counts[cls][which] += 1
@@ -91,7 +91,7 @@
             self.perform(act)
         self.world.engine.after(1000 * self.plan.watch.look_s, self.look)
 
-    def view(self, now: float) -> View:
+    def view(self, now: float) -> Snapshot:
         entries = self.world.discovery.entries.values()
         started = {self.world.by_id[e.id].plan.number: round(e.started) for e in entries}
         listed = {
@@ -103,9 +103,9 @@
         for node, group in enumerate(self.world.processes):
             told = tuple(self.told(process, started) for process in group if process.alive)
             nodes[str(node)] = NodeView(str(node), told, "" if told else "connection refused")
-        return View(now, nodes, listed)
+        return Snapshot(now, nodes, listed)
 
-    def told(self, process: Process, started: dict[int, int]) -> Told:
+    def told(self, process: SimulatedNode, started: dict[int, int]) -> Told:
         figures, held = self.known(process), Counter(a.server for a in process.attempts.values())
         out = {self.world.by_id[i].plan.number for i in process.cordoned}
         servers = {}
@@ -121,24 +121,24 @@
                     continue
                 took = Counter({b: n for b, n in enumerate(known.took[cls]) if n})
                 classes[name] = Answers(took.total(), known.failed[cls], known.unstarted[cls], took)
-            servers[str(number)] = Held(held.get(number, 0), number in out, at, classes)
+            servers[str(number)] = ServerCounters(held.get(number, 0), number in out, at, classes)
         counts = self.results.get(process, [[0, 0, 0] for _ in self.classes])
         results = {n: (c[0], c[1], c[2]) for n, c in zip(self.classes, counts, strict=True)}
         return Told(f"{process.node}-{id(process)}", "ready", servers, results)
 
     # Acts.
 
-    def perform(self, act: Act) -> None:
+    def perform(self, act: Action) -> None:
         engine, server = self.world.engine, self.servers[act.member]
-        if act.do in (Do.CORDON, Do.UNCORDON):
+        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
             silent = [node for node, group in enumerate(self.world.processes) if not group]
             for group in self.world.processes:
                 for process in group:
-                    call = process.cordon if act.do is Do.CORDON else process.uncordon
+                    call = process.cordon if act.do is ActionKind.CORDON else process.uncordon
                     engine.after(CALL_MS * self.chance(), call, server.id)
             why = f"{silent[0]}: connection refused" if silent else ""
-            engine.after(CALL_MS, self.done, act, Result(not silent, why))
-        elif act.do is Do.RUN:
+            engine.after(CALL_MS, self.done, act, ActionResult(not silent, why))
+        elif act.do is ActionKind.RUN:
             down = 1000 * self.chance.between(0.5, 3.0)
             server.stop()
             server.state = Lifecycle.GONE
@@ -146,10 +146,10 @@
             engine.after(down, self.boot, act)
         else:
             up = server.up
-            said = self.runs[act.member] if act.do is Do.ASK else "" if up else "connection refused"
-            engine.after(CALL_MS, self.done, act, Result(up, said))
+            said = self.runs[act.member] if act.do is ActionKind.ASK else "" if up else "connection refused"
+            engine.after(CALL_MS, self.done, act, ActionResult(up, said))
 
-    def boot(self, act: Act) -> None:
+    def boot(self, act: Action) -> None:
         """The new process: what its version differs in it has from its start, or some time after."""
         server, whole = self.servers[act.member], self.whole[act.member]
         self.runs[act.member] = act.version
@@ -158,7 +158,7 @@
         self.world.discovery.hear(server, Lifecycle.READY, 1000 * self.world.plan.figures["discovery.add_s"])
         if act.version == self.plan.to:
             self.world.engine.after(1000 * self.to.after_s, self.differ, act.member, server.started)
-        self.done(act, Result(True))
+        self.done(act, ActionResult(True))
 
     def differ(self, name: str, started: float) -> None:
         server, to = self.servers[name], self.to
@@ -173,6 +173,6 @@
         server.plan, server.capacity = plan, plan.cores * plan.speed
         server.changed()
 
-    def done(self, act: Act, result: Result) -> None:
+    def done(self, act: Action, result: ActionResult) -> None:
         self.standings[act.member].open = 0
         self.course.ended(act, result, self.world.engine.now / 1000)
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from flaxstep.rollout.actions import CHANGES, Act, Do, Result
+from flaxstep.rollout.actions import CHANGES, Action, ActionKind, ActionResult
 from flaxstep.rollout.io.controller import LOST
 from flaxstep.rollout.io.store import Store
 from flaxstep.rollout.plan import Member, Plan, parse_plan
 from flaxstep.rollout.release import ENDED, Release, line_up
-from flaxstep.rollout.snapshot import Answers, Held, Listed, NodeView, Process, View
-from flaxstep.rollout.state_machine import Course
+from flaxstep.rollout.snapshot import Answers, Listed, NodeView, Process, ServerCounters, Snapshot
+from flaxstep.rollout.state_machine import ReleaseStateMachine
 
 PLAN = """
 name = "v2"
@@ -107,14 +107,14 @@
     def used(self, name: str) -> bool:
         return self.servers[name].up and not any(name in out for out in self.cordons.values())
 
-    def look(self) -> View:
+    def look(self) -> Snapshot:
         nodes = {n: self.node(n) for n in self.cordons}
         lines = {
             name: Listed(name, name, "z", 1.0, "active", s.started)
             for name, s in self.servers.items()
             if s.up
         }
-        return View(self.now, nodes, lines)
+        return Snapshot(self.now, nodes, lines)
 
     def node(self, node: str) -> NodeView:
         if node in self.silent:
@@ -123,7 +123,7 @@
         for name, server in self.servers.items():
             ok, bad, bins = self.counts.get((node, name), (0, 0, Counter()))
             answers = {"build": Answers(ok, bad, 0, Counter(bins))}
-            servers[name] = Held(0, name in self.cordons[node], server.started, answers)
+            servers[name] = ServerCounters(0, name in self.cordons[node], server.started, answers)
         found = [
             Process(door, self.health(door, version), servers, {"build": self.results[node]})
             for door, version in self.doors[node].items()
@@ -135,47 +135,47 @@
 
     # What acts do.
 
-    def do(self, act: Act) -> Result:
+    def do(self, act: Action) -> ActionResult:
         self.done += 1
-        if act.do in (Do.CORDON, Do.UNCORDON):
+        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
             silent = sorted(self.silent)
             for node in set(self.cordons) - self.silent:
-                if act.do is Do.CORDON:
+                if act.do is ActionKind.CORDON:
                     self.cordons[node].add(act.member)
                 else:
                     self.cordons[node].discard(act.member)
-            return Result(not silent, f"{silent[0]}: no answer" if silent else "")
+            return ActionResult(not silent, f"{silent[0]}: no answer" if silent else "")
         if act.member in self.cordons:
             return self.at_node(act)
         server = self.servers[act.member]
-        if act.do is Do.RUN:
+        if act.do is ActionKind.RUN:
             assert all(act.member in out for out in self.cordons.values()), "restarted while in use"
             server.restarts.append(act.version)
             if act.version in self.hanging:
-                return Result(False, "restart: not done after 5 s", known=False)
+                return ActionResult(False, "restart: not done after 5 s", known=False)
             server.version, server.started = act.version, int(1000 * (2 + self.now))
             server.up = act.version not in self.never_ready
             for node in self.cordons:
                 self.counts.pop((node, act.member), None)
-        if act.do is Do.PING:
-            return Result(server.up, "" if server.up else "connection refused")
-        if act.do is Do.CHECK:
-            return Result(server.version not in self.wrong, "41 is not 42")
-        return Result(True, server.version)
+        if act.do is ActionKind.PING:
+            return ActionResult(server.up, "" if server.up else "connection refused")
+        if act.do is ActionKind.CHECK:
+            return ActionResult(server.version not in self.wrong, "41 is not 42")
+        return ActionResult(True, server.version)
 
-    def at_node(self, act: Act) -> Result:
+    def at_node(self, act: Action) -> ActionResult:
         doors = self.doors[act.member]
-        if act.do is Do.RUN and act.version not in self.hanging:
+        if act.do is ActionKind.RUN and act.version not in self.hanging:
             assert act.door not in doors, "started twice"
             doors[act.door] = act.version
-        elif act.do is Do.STOP:
+        elif act.do is ActionKind.STOP:
             doors.pop(act.door, None)
-        elif act.do is Do.ASK:
-            return Result(act.door in doors, doors.get(act.door, "no answer"))
-        elif act.do is Do.CHECK:
-            return Result(act.version not in self.wrong, "41 is not 42")
-        hung = act.do is Do.RUN and act.version in self.hanging
-        return Result(not hung, "start: not done after 5 s" if hung else "", known=not hung)
+        elif act.do is ActionKind.ASK:
+            return ActionResult(act.door in doors, doors.get(act.door, "no answer"))
+        elif act.do is ActionKind.CHECK:
+            return ActionResult(act.version not in self.wrong, "41 is not 42")
+        hung = act.do is ActionKind.RUN and act.version in self.hanging
+        return ActionResult(not hung, "start: not done after 5 s" if hung else "", known=not hung)
 
 
 class Killed(Exception):
@@ -203,7 +203,7 @@
             kept = self.store.newest()
         assert kept is not None
         self.number, self.release, self.members = kept.id, kept.release, kept.members
-        self.course = Course(kept.plan, kept.release, kept.members, nodes)
+        self.course = ReleaseStateMachine(kept.plan, kept.release, kept.members, nodes)
         self.course.pick_up(kept.left.values(), self.farm.now)
         for number in kept.left:
             self.store.record(self.number, self.release, self.members, number, LOST)
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import read_records
 from flaxstep.faultbench.result import Result, judge_play
-from flaxstep.faultbench.trace import Story, tell
+from flaxstep.faultbench.trace import Trace, tell
 from flaxstep.simulator.scenario import Scenario, read_scenario
 
 ROOT = Path(__file__).parent.parent
@@ -66,13 +66,13 @@
 group = "cell"
 window_ms = 500
 """
-Acts = Callable[[Stage], Awaitable[bool | None]]  # True: the play may end with it
+Acts = Callable[[Farm], Awaitable[bool | None]]  # True: the play may end with it
 
 
 @dataclass
 class Played:
     scenario: Scenario
-    story: Story
+    story: Trace
     result: Result
 
     @property
@@ -88,7 +88,7 @@
     path = folder / "scenario.toml"
     path.write_text(SMALL.format(**{"seconds": 3, "nodes": 2, "load": 0.4} | figures) + extra)
     scenario = read_scenario(path)
-    async with Stage(scenario, path, 1, folder / "play", run) as stage:
+    async with Farm(scenario, path, 1, folder / "play", run) as stage:
         await stage.open()
         await stage.begin()
         end = stage.plan.length
@@ -105,7 +105,7 @@
     return Played(scenario, story, judge_play(scenario, 1, folder / "play"))
 
 
-def played(stage: Stage) -> float:
+def played(stage: Farm) -> float:
     """ms since the play began."""
     return stage.recorder.now()
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -66,7 +66,7 @@
     def broken(_: bytes) -> admin.Reply:
         raise RuntimeError("broken on purpose")
 
-    status, text, _ = admin.Door(asyncio.new_event_loop(), {b"/admin/x": (b"POST", broken)}).reply(
+    status, text, _ = admin.AdminServer(asyncio.new_event_loop(), {b"/admin/x": (b"POST", broken)}).reply(
         b"POST", b"/admin/x", b""
     )
     assert status == 500 and "broken" not in text
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,7 @@
 from flaxstep.proxy import client_connections, server_connections
 from flaxstep.proxy.client_connections import stable_id
 from flaxstep.proxy.connection_close import reset
-from flaxstep.proxy.request_bodies import LEAST, WHOLE, Room
+from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES, MIN_BODY_SHARE_BYTES, BodyBudget
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Began, Outcome, Request, Result, Uploaded
 from tests.net import OK, WAIT, Client, Peer, Stand, answer, field, request, running, stay_silent
@@ -103,7 +103,7 @@
             due = (await stand.event(Uploaded)).due  # its time runs from the last byte
             assert 0 < due - now_ms() < 8000.0
             assert (await stand.outcome()).result == Result.OK
-            assert stand.node.room.bodies == 0 and not stand.node.held
+            assert stand.node.body_budget.bodies == 0 and not stand.node.held
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200  # the connection goes on
 
     run(test())
@@ -148,7 +148,7 @@
             assert isinstance(await stand.event(Began), Began)
             outcome = await stand.outcome()
             assert (outcome.result, outcome.over) == (Result.OK, True)
-            assert stand.node.room.bodies == 0 and not stand.node.held and not stand.node.pool.attempts
+            assert stand.node.body_budget.bodies == 0 and not stand.node.held and not stand.node.pool.attempts
             if version == b"HTTP/1.1":
                 assert field(head, b"Connection") is None
                 client.writer.write(request())
@@ -219,7 +219,7 @@
                 assert len((await read_answer(client))[1]) < 0  # not reached: it raises
             found = await stats(stand)
             assert (found["results.book.aborted"], found["outstanding"], found["forwards"]) == (1, 0, 1)
-            assert not stand.node.held and stand.node.room.bodies == 0
+            assert not stand.node.held and stand.node.body_budget.bodies == 0
 
     run(test())
 
@@ -247,7 +247,7 @@
                 await asyncio.sleep(0.2)
             assert before < 32 << 20
             (held,) = stand.node.held.values()
-            assert held.client.transport.get_write_buffer_size() <= WHOLE
+            assert held.client.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES
             assert (await stats(stand))["outstanding"] == 1
             client.reader._limit = 1 << 20  # type: ignore[attr-defined]
             left = 32 << 20
@@ -275,7 +275,7 @@
                 await asyncio.sleep(0.2)
             assert before > 10 << 20  # the client still has it
             (connection,) = stand.node.pool.connections
-            assert connection.transport.get_write_buffer_size() <= WHOLE + 100
+            assert connection.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES + 100
             taker.go.set()
             assert (await client.answer())[0] == 200
             assert len(taker.body) == 30 << 20
@@ -299,7 +299,7 @@
             assert (outcome.result, outcome.spent) == (Result.UNREACHABLE, True)
             await until(lambda: client.writer.transport.get_write_buffer_size() == 0)  # it is read to its end
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert stand.node.room.bodies == 0
+            assert stand.node.body_budget.bodies == 0
 
     run(test())
 
@@ -351,7 +351,7 @@
             client.writer.transport.abort()
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(taker.ended.wait(), WAIT)
-            assert not stand.node.held and not stand.node.pool.attempts and stand.node.room.bodies == 0
+            assert not stand.node.held and not stand.node.pool.attempts and stand.node.body_budget.bodies == 0
             server = stand.node.policy.servers[stable_id(b"s-1")]
             assert not any(health.fails for health in server.health)
             assert not server.open and not server.uploads and stand.node.policy.flying == 0
@@ -378,7 +378,7 @@
 
 def test_a_body_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "REQUEST_TIME", 0.4)
-    monkeypatch.setattr(client_connections, "LEAST_RATE", 400_000)
+    monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 400_000)
 
     async def test() -> None:
         async with taking() as (stand, taker):
@@ -402,7 +402,7 @@
 ) -> None:
     for name in ("REQUEST_TIME", "PROVE_TIME"):
         monkeypatch.setattr(client_connections, name, 0.4)
-    monkeypatch.setattr(client_connections, "LEAST_RATE", 20_000)
+    monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 20_000)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -457,7 +457,7 @@
 
 
 def test_a_body_over_the_limit_is_told_also_where_it_comes_in_chunks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "MAX_BODY", 300_000)
+    monkeypatch.setattr(client_connections, "MAX_REQUEST_BODY_BYTES", 300_000)
 
     async def test() -> None:
         async with taking() as (stand, taker):
@@ -505,13 +505,19 @@
 
 
 def test_the_more_bodies_are_in_hand_the_less_is_held_of_each() -> None:
-    room = Room(1 << 20)
+    body_budget = BodyBudget(1 << 20)
     shares = []
     for bodies in (0, 1, 16, 32, 1000):
-        room.bodies = bodies
-        shares.append(room.share)
-        assert len(room.read_buffer()) == room.share
-    assert shares == [WHOLE, WHOLE, WHOLE, 32768, LEAST]
+        body_budget.bodies = bodies
+        shares.append(body_budget.share)
+        assert len(body_budget.read_buffer()) == body_budget.share
+    assert shares == [
+        BUFFERED_BODY_BYTES,
+        BUFFERED_BODY_BYTES,
+        BUFFERED_BODY_BYTES,
+        32768,
+        MIN_BODY_SHARE_BYTES,
+    ]
 
 
 def test_many_bodies_at_once_stay_within_the_budget() -> None:
@@ -530,14 +536,14 @@
                 whole = sum(len(connection.body) for connection in connections)
                 return whole + sum(c.upload.size for c in connections if c.upload is not None)
 
-            await until(lambda: stand.node.room.bodies == 60)
+            await until(lambda: stand.node.body_budget.bodies == 60)
             await asyncio.sleep(0.1)
-            assert held() < 4 << 20 and stand.node.room.share < 20_000
+            assert held() < 4 << 20 and stand.node.body_budget.share < 20_000
             for sender in senders:
                 sender.writer.write(data[-1:])
             for sender in senders:
                 assert (await sender.answer())[0] in (200, 503)
-            assert stand.node.room.bodies == 0
+            assert stand.node.body_budget.bodies == 0
 
     run(test())
 
@@ -575,6 +581,6 @@
             client.writer.transport.abort()
             await asyncio.wait_for(peer.ended.get(), WAIT)
             await until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
-            assert not stand.node.held and stand.node.room.bodies == 0
+            assert not stand.node.held and stand.node.body_budget.bodies == 0
 
     run(test())
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -12,7 +12,7 @@
 
 from flaxstep.proxy import shared_state
 from flaxstep.proxy.client_connections import stable_id
-from flaxstep.proxy.shared_state import Handover, Shared
+from flaxstep.proxy.shared_state import OperatorState, SharedState
 from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
 from tests.net import WAIT, Peer, Stand, request, running
 from tests.support import START, Stage, server, settings
@@ -188,13 +188,13 @@
 def test_a_spoilt_file_is_logged_and_the_next_call_writes_a_good_one(
     tmp_path: Path, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    first = Handover(tmp_path, "n0", lambda before, now: None)
+    first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
     first.change(lambda shared: shared.without("s-1"))
     first.file.write_bytes(data)
-    second = Handover(tmp_path, "n0", lambda before, now: None)
+    second = SharedState(tmp_path, "n0", lambda before, now: None)
     second.start()
-    assert second.shared == Shared() and str(second.file) in caplog.text
+    assert second.shared == OperatorState() and str(second.file) in caplog.text
     first.change(lambda shared: shared.without("s-2"))
     second.look()
     assert second.shared.cordoned == {"s-1", "s-2"}
@@ -214,7 +214,7 @@
         assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 503
         assert stand.node.policy.cordoned == {stable_id(b"s-1")}
         tmp_path.mkdir()
-        successor = Handover(tmp_path, "n0", lambda before, now: None)
+        successor = SharedState(tmp_path, "n0", lambda before, now: None)
         async with asyncio.timeout(WAIT):
             while not successor.shared.cordoned:
                 await asyncio.sleep(0.02)
@@ -236,14 +236,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, code: int
 ) -> None:
     """One failed read is no proof that nobody is out, and none that no other process runs."""
-    first = Handover(tmp_path, "n0", lambda before, now: None)
+    first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
     first.change(lambda shared: shared.without("s-1"))
 
     def fail(path: Path) -> None:
         raise OSError(code, os.strerror(code))
 
-    second = Handover(tmp_path, "n0", lambda before, now: None)
+    second = SharedState(tmp_path, "n0", lambda before, now: None)
     with monkeypatch.context() as failing:
         failing.setattr(shared_state, call, fail)
         second.start()
@@ -259,7 +259,7 @@
 def test_a_node_takes_no_client_before_it_knows_who_is_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = Handover(tmp_path, "n0", lambda before, now: None)
+    before = SharedState(tmp_path, "n0", lambda before, now: None)
     before.start()
     before.change(lambda shared: shared.without("s-1"))
     before.close()
@@ -283,7 +283,7 @@
 
 def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shared_state, "LOCK_TIME", 0.02)
-    first, second = (Handover(tmp_path, "n0", lambda before, now: None) for _ in range(2))
+    first, second = (SharedState(tmp_path, "n0", lambda before, now: None) for _ in range(2))
     with first.locked(), pytest.raises(TimeoutError):
         second.change(lambda shared: shared.without("s-1"))
     assert not second.shared.cordoned
@@ -292,7 +292,7 @@
 
 
 def test_processes_see_each_other_and_nodes_of_other_names_do_not(tmp_path: Path) -> None:
-    first, second, other = (Handover(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
+    first, second, other = (SharedState(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
     first.start()
     other.start()
     assert not first.others and not other.others
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 
 from flaxstep.proxy import client_connections, connection_close, discovery, server_connections
 from flaxstep.proxy.client_connections import stable_id
-from flaxstep.proxy.request_bodies import WHOLE
+from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES
 from flaxstep.proxy.server_connections import Attempt, ServerConnection
 from flaxstep.routing.interface import (
     Began,
@@ -475,7 +475,7 @@
 
             def withdrawn_at_once(action: Send) -> None:
                 send(action)
-                loop.call_soon(stand.node.withdraw, action.id)
+                loop.call_soon(stand.node.client_gone, action.id)
 
             stand.node.perform[Send] = withdrawn_at_once
             client.writer.write(request())
@@ -595,7 +595,10 @@
     gate = Gate()
 
     async def slowly(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (WHOLE + 2) + bytes(WHOLE + 1))
+        writer.write(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (BUFFERED_BODY_BYTES + 2)
+            + bytes(BUFFERED_BODY_BYTES + 1)
+        )
         await gate.open.wait()
         writer.write(b"x")
 
@@ -609,7 +612,7 @@
             await told(stand, 2)
             gate.open.set()
             came = 0
-            while came < WHOLE:
+            while came < BUFFERED_BODY_BYTES:
                 came += len(await client.answer())
             assert (await stand.outcome()).result == Result.OK
             assert not [record for record in caplog.records if record.levelname == "ERROR"]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from flaxstep.cli import main
 from flaxstep.routing.interface import Outcome, Request, Result, Send, ServerList, Settings
 from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import Attempt, ChokePlan, Server, ServerPlan, Tally
+from flaxstep.simulator.job_servers import Attempt, ChokePlan, Server, ServerPlan, WorkTotals
 from flaxstep.simulator.runner import Player, Run, encode, play, play_with, player
 from flaxstep.simulator.scenario import (
     Act,
@@ -38,7 +38,7 @@
     zone = 0
 
     def __init__(self, cores: int = 1, choke: float = 0.0, cold: bool = False, slots: int = 999) -> None:
-        self.engine, self.tally = Engine(), Tally()
+        self.engine, self.tally = Engine(), WorkTotals()
         self.ended_at: list[tuple[float, Attempt, Result]] = []
         plan = ServerPlan(0, 0, 0, 0, cores, 1.0, slots, 10**6, 0.0, 10.0, 0.12, 10_000.0, 0.0, 900, 0.0)
         sticky = ChokePlan(choke > 0, choke or 5.0, 1500.0, 3.0, 2000.0, 0.3, 30_000.0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 import pytest
 import uvloop
 
-from flaxstep.faultbench.fake_service import RigError, loopback
+from flaxstep.faultbench.fake_service import FaultBenchError, loopback
 from flaxstep.faultbench.farm import claim
 from flaxstep.faultbench.links import Links
 from flaxstep.faultbench.records import Recorder, Turn, read_records
@@ -189,5 +189,5 @@
 
 @pytest.mark.parametrize("host", ["192.0.2.1", "localhost", "0.0.0.0", "::1", "128.0.0.1"])
 def test_no_target_but_loopback(host: str) -> None:
-    with pytest.raises(RigError, match="loopback"):
+    with pytest.raises(FaultBenchError, match="loopback"):
         loopback(host)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from flaxstep.proxy.metrics import Figures, ServerFigures
+from flaxstep.proxy.metrics import Metrics, ServerMetrics
 from flaxstep.routing.interface import ListKind, Result, ServerList
 from flaxstep.routing.policy import Policy
 from tests.net import CLASSES, OK, Peer, Stand, answer, answer_ok, hang_up, request, running, stay_silent
@@ -39,7 +39,7 @@
 
 
 def test_the_lines_are_in_statsd_form() -> None:
-    figures = Figures(["find"])
+    figures = Metrics(["find"])
     for status in (200, 503, 429, 502, 500):
         figures.ended(0, status)
     assert figures.lines({"outstanding": 14}).splitlines() == [
@@ -184,7 +184,7 @@
 
 
 def test_a_bucket_is_a_fourth_of_an_octave_and_the_last_holds_the_rest() -> None:
-    figures = ServerFigures(["find"])
+    figures = ServerMetrics(["find"])
     figures.listed(1, "s-1", 0.0)
     for took in (0.0, 1.0, 3.0, 100.0, 1e9):
         figures.ended(1, 0, Result.OK, took)
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -10,8 +10,8 @@
 from click.testing import CliRunner, Result
 
 from flaxstep.cli import main
-from flaxstep.rollout.actions import Act, Do, Standing
-from flaxstep.rollout.actions import Result as Came
+from flaxstep.rollout.actions import Action, ActionKind, MemberState
+from flaxstep.rollout.actions import ActionResult as Came
 from flaxstep.rollout.farm import read_farm
 from flaxstep.rollout.io.controller import open_release
 from flaxstep.rollout.io.store import Store, StoreError
@@ -81,7 +81,7 @@
 def test_an_open_release_goes_on_with_another_on_bad_but_with_no_other_plan(folder: Path) -> None:
     farm, store, first = read_farm(folder / "farm.toml"), Store(folder / "kept" / "state"), plan()
     store.take_claim()
-    number = store.begin(first, Release(), {"s-1": Standing("s-1", "a", 1.0, "v1")})
+    number = store.begin(first, Release(), {"s-1": MemberState("s-1", "a", 1.0, "v1")})
     found = asyncio.run(open_release(farm, store, plan(watch='on_bad = "hold"')))
     assert (found.id, found.plan.watch.on_bad) == (number, "hold")
     with pytest.raises(StoreError, match="is not over"):
@@ -92,9 +92,9 @@
 def test_status_history_and_orders_of_a_release_without_a_controller(folder: Path) -> None:
     store = Store(folder / "kept" / "state")
     store.take_claim()
-    members = {"s-1": Standing("s-1", "a", 1.0, "v1"), "s-2": Standing("s-2", "b", 1.0, "v1", wave=1)}
+    members = {"s-1": MemberState("s-1", "a", 1.0, "v1"), "s-2": MemberState("s-2", "b", 1.0, "v1", wave=1)}
     number = store.begin(plan(), Release(state=State.ROLLING, waiting="node n0 does not answer"), members)
-    [act] = store.intend(number, Release(state=State.ROLLING), members, [Act(Do.CORDON, "s-1")])
+    [act] = store.intend(number, Release(state=State.ROLLING), members, [Action(ActionKind.CORDON, "s-1")])
     store.record(number, Release(state=State.ROLLING), members, act, Came(False, "n0: no answer"))
     assert f"process {store.holder().split()[-1]}" in call(folder, "status").output
     store.leave_claim()
