--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks import releases
-from flaxstep.rollout.canary_analysis import Finding, Judge, Seen
+from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Seen
 
 COUNT = 120
 
@@ -33,7 +33,7 @@
 
 
 def test_load_that_moves_all_is_no_reason_and_a_version_that_is_slower_still_is() -> None:
-    judge = Judge(0.01, 0.002)
+    judge = CanaryAnalysis(0.01, 0.002)
     for _ in range(60):  # all of them three times as often slow as usual
         assert judge.look(look((30, 0, 22), (30, 0, 22))).finding is Finding.GOOD
     while (opinion := judge.look(look((30, 0, 29), (30, 0, 20)))).finding is Finding.GOOD:
@@ -43,7 +43,7 @@
 
 
 def test_a_cold_member_s_answers_count_for_nothing_until_it_is_warm() -> None:
-    judge = Judge(0.01, 0.002)
+    judge = CanaryAnalysis(0.01, 0.002)
     for cold in (True, False):
         for _ in range(60):
             rest = look((30, 0, 7), (30, 0, 7))[1:]
@@ -52,17 +52,17 @@
 
 
 def test_failures_that_meet_the_rest_at_the_same_time_are_no_version_s() -> None:
-    judge = Judge(0.01, 0.002)
+    judge = CanaryAnalysis(0.01, 0.002)
     for second in range(120):
         burst = 3 if 60 <= second < 70 else 0
         assert judge.look(look((30, burst, 7), (30, burst, 7))).finding is Finding.GOOD
 
 
 def test_what_it_has_seen_outlives_its_controller_and_a_second_look_begins_anew() -> None:
-    judge = Judge(0.01, 0.002)
+    judge = CanaryAnalysis(0.01, 0.002)
     while judge.look(look((30, 2, 7), (30, 0, 7))).finding is Finding.GOOD:
         assert judge.sole
-    other = Judge(0.01, 0.002)
+    other = CanaryAnalysis(0.01, 0.002)
     other.remember(json.loads(json.dumps(judge.memory())))
     assert other.opinion() == judge.opinion() and other.opinion().finding is Finding.BAD
     other.look_again()
@@ -71,7 +71,7 @@
 
 def test_one_bad_machine_of_several_halts_nothing_and_two_do() -> None:
     for bad, finding in ((1, Finding.GOOD), (2, Finding.BAD)):
-        judge = Judge(0.01, 0.002)
+        judge = CanaryAnalysis(0.01, 0.002)
         for _ in range(60):
             new = [Seen(f"new {i}", True, 30, 9 if i < bad else 0, 6, usual=0.25) for i in range(3)]
             last = judge.look(new + look((30, 0, 7), (30, 0, 7))[1:])
@@ -79,6 +79,6 @@
 
 
 def test_with_nothing_to_compare_with_it_says_so() -> None:
-    judge = Judge(0.01, 0.002)
+    judge = CanaryAnalysis(0.01, 0.002)
     assert judge.look([Seen("new", True, 900, 900, 900, usual=0.25)]).finding is Finding.UNFIT
     assert judge.look([]).finding is Finding.UNFIT
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -11,8 +11,8 @@
 
 from flaxstep.rollout.farm import Farm, NodeLine
 from flaxstep.rollout.io import http_client
-from flaxstep.rollout.io.snapshot_collector import look
-from flaxstep.rollout.snapshot import View
+from flaxstep.rollout.io.snapshot_collector import collect_snapshot
+from flaxstep.rollout.snapshot import Snapshot
 
 STATS = "edge_router.results.build.succeeded:7|c\nedge_router.results.build.declined:2|c\n"
 STATS += "edge_router.results.build.aborted:1|c\nedge_router.outstanding:3|g"
@@ -28,7 +28,7 @@
 Answers = dict[str, tuple[int, str] | bytes]
 
 
-async def seen(answers: Answers) -> View:
+async def seen(answers: Answers) -> Snapshot:
     """One look at a node and a list that answer so; bytes are written as they are, then the end."""
 
     async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -43,7 +43,7 @@
     server = await asyncio.start_server(take, "127.0.0.1", 0)
     place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with server:
-        return await look(Farm("farm", place, "state", (NodeLine("n0", (place,)),)), 3.0)
+        return await collect_snapshot(Farm("farm", place, "state", (NodeLine("n0", (place,)),)), 3.0)
 
 
 def test_a_look_shows_what_doors_and_list_say() -> None:
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from flaxstep.faultbench.child_process import Child
-from flaxstep.faultbench.farm import Stage
-from flaxstep.faultbench.operators import Staff, run_controller
-from flaxstep.rollout.actions import Phase, Standing
+from flaxstep.faultbench.child_process import ChildProcess
+from flaxstep.faultbench.farm import Farm
+from flaxstep.faultbench.operators import OperatorCommands, run_controller
+from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.farm import read_farm
 from flaxstep.rollout.io.store import LEASE, Kept, Store
 from flaxstep.rollout.release import Release, State
@@ -74,8 +74,8 @@
 class Live:
     """A farm under load with a release under way."""
 
-    def __init__(self, stage: Stage, case: Case) -> None:
-        self.stage, self.staff = stage, Staff(stage)
+    def __init__(self, stage: Farm, case: Case) -> None:
+        self.stage, self.staff = stage, OperatorCommands(stage)
         self.controllers = 0
         time_limit, ready = case.limits
         text = PLAN.format(to=case.to, what=case.what, wait=case.wait, time_limit=time_limit, ready=ready)
@@ -84,7 +84,7 @@
         self.plan.write_text(text)
         self.farm = self.staff.farm_file()
 
-    async def control(self) -> Child:
+    async def control(self) -> ChildProcess:
         """Start a controller."""
         self.controllers += 1
         log = self.stage.folder / f"controller-{self.controllers}.log"
@@ -146,7 +146,7 @@
 
     code: int
     release: Release
-    members: dict[str, Standing]
+    members: dict[str, MemberState]
     versions: list[str]  # of the job servers
     calls: list[list[str]]
     play: Played
@@ -160,7 +160,7 @@
     """Play a release to its end under load; all is judged."""
     found: list[Done] = []
 
-    async def act(stage: Stage) -> bool:
+    async def act(stage: Farm) -> bool:
         live = Live(stage, case)
         await live.staff.open()
         try:
--- a/tests/test_rig_faults.py
+++ b/tests/test_rig_faults.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import read_records
 from flaxstep.faultbench.trace import FOREVER, Attempt, tell
 from tests.rigs import ROOT, Played, alive, rig
@@ -29,7 +29,7 @@
     return [[attempt for attempt in one.attempts if attempt.ran] for one in tries]
 
 
-def out(stage: Stage) -> set[tuple[int, int]]:
+def out(stage: Farm) -> set[tuple[int, int]]:
     """Node and server of each attempt that a server holds now."""
     story = tell(read_records(stage.folder), stage.plan, stage.scenario.rig.regions)
     return {
@@ -40,7 +40,7 @@
     }
 
 
-async def hold(stage: Stage, servers: range, nodes: range) -> None:
+async def hold(stage: Farm, servers: range, nodes: range) -> None:
     """Servers take what comes and answer nothing, until each of them has something out of these nodes."""
     for server in servers:
         await stage.set_server(server, paused=True)
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("way", ["there", "back"])
 def test_a_one_way_cut_of_a_zone_costs_no_rule_and_heals(tmp_path: Path, way: str) -> None:
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         spec = link("silent", "node:0", "zone:1", way)
         await asyncio.sleep(0.5)
         await stage.fault(1, spec)
@@ -72,7 +72,7 @@
 
 
 def test_a_server_stopped_past_every_deadline_goes_on_and_breaks_nothing(tmp_path: Path) -> None:
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         await asyncio.sleep(0.4)
         await stage.stop("server:1")
         await asyncio.sleep(1.5)  # the longest deadline is 1.2 s
@@ -86,7 +86,7 @@
 
 
 def test_a_node_killed_with_requests_out_at_three_servers_and_unsafe_ones_run_once(tmp_path: Path) -> None:
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         await asyncio.sleep(0.4)
         await hold(stage, range(3), range(1))  # of the node that is killed
         await stage.kill("node:0")
@@ -109,7 +109,7 @@
 def test_a_fault_between_the_last_byte_of_a_request_and_the_first_of_its_answer(
     tmp_path: Path, name: str
 ) -> None:
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         spec = link(name, "nodes", "servers")
         await asyncio.sleep(0.4)
         await hold(stage, range(6), range(2))
@@ -140,7 +140,7 @@
         for node, way in enumerate(("there", "back"))
     )
 
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         await asyncio.sleep(0.2)
         await stage.cordon(0)
         await stage.restart_server(0, down_s=0.2)
@@ -159,7 +159,7 @@
 def test_a_full_disk_refuses_a_cordon_and_service_goes_on(tmp_path: Path) -> None:
     disk = '[[rig.faults]]\nname = "disk"\nof = "node:0"\nat_s = 9\nsize = 0\n'
 
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         for state, answers in (("full", {503, 200}), ("", {200})):
             await stage.disk("node:0", state)
             said = [await stage.ask(node, "POST", "cordon", "s-0002") for node in (0, 1)]
@@ -170,7 +170,7 @@
 
 
 def test_an_upgrade_under_load_loses_nothing_and_a_killed_rig_leaves_no_process(tmp_path: Path) -> None:
-    async def acts(stage: Stage) -> None:
+    async def acts(stage: Farm) -> None:
         await asyncio.sleep(0.3)
         await stage.cordon(1)
         await stage.upgrade(0)
--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from flaxstep.faultbench.farm import Stage
+from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import Answered, Asked, Began, Closed, Dealt, Ended, Happened, Record, Turn
 from flaxstep.faultbench.rule_checks import lost, together
 from flaxstep.faultbench.trace import tell
@@ -17,15 +17,15 @@
 from tests.rigs import ROOT, Played, rig
 
 
-async def drain(stage: Stage) -> None:
+async def drain(stage: Farm) -> None:
     await stage.leave_server(0, late_s=0.0)
 
 
-async def cordon(stage: Stage) -> None:
+async def cordon(stage: Farm) -> None:
     await stage.cordon(0)
 
 
-async def restart(stage: Stage) -> None:
+async def restart(stage: Farm) -> None:
     await stage.restart_server(0, down_s=0.1)
 
 
--- a/tests/test_rig_report.py
+++ b/tests/test_rig_report.py
@@ -14,7 +14,7 @@
 from flaxstep.faultbench.report import report
 from flaxstep.faultbench.result import Line, Result, Second
 from flaxstep.faultbench.rule_checks import Breach
-from flaxstep.faultbench.schedule import Timetable
+from flaxstep.faultbench.schedule import Schedule
 from flaxstep.simulator.sampling import draw_plan
 from flaxstep.simulator.scenario import Act, ScenarioError, Trouble, parse_scenario, read_scenario
 from flaxstep.simulator.scoring import Verdict
@@ -40,7 +40,7 @@
     troubles = [Trouble(name, at_s=(5, 9), len_s=4, part=0.3, size=0.5, extra=0.5) for name in names]
     acts = [Act(name, at_s=20, for_s=3) for name in ("cordon", "quiesce", "upgrade", "restart")]
     scenario = msgspec.structs.replace(scenario, troubles=troubles, acts=acts)
-    one, again, other = (Timetable(scenario, draw_plan(scenario, seed)).steps for seed in (3, 3, 4))
+    one, again, other = (Schedule(scenario, draw_plan(scenario, seed)).steps for seed in (3, 3, 4))
     assert one == again != other and one == sorted(one, key=lambda step: step.at)
     last: dict[str, object] = {}
     for step in one:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 import pytest
 import uvloop
 
-from flaxstep.proxy.node import room
+from flaxstep.proxy.node import connection_limits
 from tests.net import WAIT, Agent, Client, Peer, request, running
 from tests.test_admin import DOOR, HEALTH, until
 from tests.test_node import run
@@ -127,10 +127,10 @@
             for client in clients:
                 assert (await client.ask(request()))[0] == 200
             whole = (old.node.listener.limit, old.node.pool.max_connections)
-            assert whole == room(256) and sum(whole) < 256
+            assert whole == connection_limits(256) and sum(whole) < 256
             async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as new:
                 await until(lambda: old.node.listener.limit < whole[0])
-                half = room(128)
+                half = connection_limits(128)
                 for stand in (old, new):
                     assert (stand.node.listener.limit, stand.node.pool.max_connections) == half
                 assert 2 * sum(half) <= sum(whole)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -11,7 +11,7 @@
 
 from flaxstep.proxy.client_connections import stable_id
 from flaxstep.proxy.member_list import MemberListReader
-from flaxstep.proxy.shared_state import Handover, Shared
+from flaxstep.proxy.shared_state import OperatorState, SharedState
 from flaxstep.proxy.wall_clock import WallClock
 
 HOUR = 3_600_000.0
@@ -85,16 +85,16 @@
     clocks = Clocks()
     monkeypatch.setattr(time, "time", lambda: clocks.unix / 1000)
     seen: list[float] = []
-    old = Handover(tmp_path, "n0", lambda before, shared: None)
+    old = SharedState(tmp_path, "n0", lambda before, shared: None)
     old.start()
     at = time.monotonic() * 1000
     old.change(lambda shared: shared.with_back("s-1", old.stamp_return("s-1", at), set()))
     clocks.unix += step
 
-    def take(before: Shared, shared: Shared) -> None:
+    def take(before: OperatorState, shared: OperatorState) -> None:
         seen.extend(new.returned_at(name, unix) for name, unix in shared.returned.items())
 
-    new = Handover(tmp_path, "n0", take)
+    new = SharedState(tmp_path, "n0", take)
     new.start()
     assert seen == [at]
     old.close()
@@ -105,11 +105,11 @@
 def test_moments_that_cannot_be_read_leave_unix_time(
     data: bytes, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    old = Handover(tmp_path, "n0", lambda before, shared: None)
+    old = SharedState(tmp_path, "n0", lambda before, shared: None)
     now = time.monotonic() * 1000
     old.change(lambda shared: shared.with_back("s-1", old.stamp_return("s-1", now), set()))
     old.moments_file.write_bytes(data)
-    new = Handover(tmp_path, "n0", lambda before, shared: None)
+    new = SharedState(tmp_path, "n0", lambda before, shared: None)
     new.start()
     (unix,) = new.shared.returned.values()
     assert new.returned_at("s-1", unix) == pytest.approx(now, abs=2000.0)
