--- a/flaxstep/cli_rig.py
+++ b/flaxstep/cli_faultbench.py
@@ -15,17 +15,24 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
-from flaxstep.lab.scenario import ScenarioError, read_scenario
-from flaxstep.refusal import Refusal
-from flaxstep.rig.child import ROOT
-from flaxstep.rig.load import Order, Summary, parse_class, parse_steps, parse_target, run_load
-from flaxstep.rig.play import play
-from flaxstep.rig.report import write_report
-from flaxstep.rig.result import Line, Result, judge_play, write_result
-from flaxstep.rig.soak.run import SoakOutcome, soak
-from flaxstep.rig.soak.timeline import report
-from flaxstep.rig.stage import build
-from flaxstep.rig.standin import RigError
+from flaxstep.command_error import CommandError
+from flaxstep.faultbench.child_process import ROOT
+from flaxstep.faultbench.fake_service import FaultBenchError
+from flaxstep.faultbench.farm import build
+from flaxstep.faultbench.load_generator import (
+    Order,
+    Summary,
+    parse_class,
+    parse_steps,
+    parse_target,
+    run_load,
+)
+from flaxstep.faultbench.report import write_report
+from flaxstep.faultbench.result import Line, Result, judge_play, write_result
+from flaxstep.faultbench.runner import play
+from flaxstep.faultbench.soak.runner import SoakOutcome, soak
+from flaxstep.faultbench.soak.timeline import report
+from flaxstep.simulator.scenario import ScenarioError, read_scenario
 
 CASES = ("in_time", "late", "refused", "failed", "unserved")
 NOT_RUN_PART = 0.1  # of a soak's plays that may not have been played properly
@@ -158,8 +165,8 @@
             seed=seed,
             poisson=not even,
         )
-    except RigError as error:
-        raise Refusal(str(error)) from None
+    except FaultBenchError as error:
+        raise CommandError(str(error)) from None
     summary = run_load(order)
     if as_json:
         click.echo(msgspec.json.encode(summary))
@@ -186,10 +193,10 @@
         if out is None:
             return new_folder(name, seed)
         if out.exists() and (not out.is_dir() or any(out.iterdir())):
-            raise Refusal(f"{out}: exists already; name an empty folder")
+            raise CommandError(f"{out}: exists already; name an empty folder")
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise Refusal(f"{error.filename}: {error.strerror}") from None
+        raise CommandError(f"{error.filename}: {error.strerror}") from None
     return out.resolve()
 
 
@@ -225,8 +232,8 @@
                     bar.console.print(f"{played:5.1f} s  {what}")
 
             asyncio.run(play(scenario, path.resolve(), seed, folder, show))
-    except (ScenarioError, RigError) as error:
-        raise Refusal(str(error)) from None
+    except (ScenarioError, FaultBenchError) as error:
+        raise CommandError(str(error)) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
         click.echo("flaxstep: ended before the play was over; its processes are ended too", err=True)
         sys.exit(ENDED)
--- a/flaxstep/rig/clients.py
+++ b/flaxstep/faultbench/clients.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from flaxstep.lab.draw import Plan, draw_plan
-from flaxstep.lab.engine import Streams
-from flaxstep.lab.scenario import Scenario, read_scenario
-from flaxstep.rig.record import Answered, Asked, Recorder
-from flaxstep.rig.standin import Address, StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
+from flaxstep.faultbench.records import Answered, Asked, Recorder
+from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.sampling import Plan, draw_plan
+from flaxstep.simulator.scenario import Scenario, read_scenario
 
 AFTER_DUE = 0.8  # s for which a connection is still read when its try's time is over
 IDLE = 1.5  # s after which a client's idle connection is not used again
@@ -54,7 +54,7 @@
         self.connection: Connection | None = None
 
 
-class Clients(StandIn):
+class Clients(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.recorder, self.loop = recorder, loop
         self.scenario: Scenario = read_scenario(Path(config["scenario"]))
--- a/flaxstep/rig/listing.py
+++ b/flaxstep/faultbench/discovery_service.py
@@ -16,10 +16,10 @@
 
 import httptools
 
-from flaxstep.lab.engine import Streams
-from flaxstep.rig.pipe import reset
-from flaxstep.rig.record import Happened, Recorder, Told
-from flaxstep.rig.standin import StandIn, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import FakeService, Tasks, loopback, run
+from flaxstep.faultbench.forwarder import reset
+from flaxstep.faultbench.records import Happened, Recorder, Told
+from flaxstep.simulator.engine import Streams
 
 PATH = "/catalog/members"
 BEAT = 2.0  # s between the empty lines of a watch
@@ -32,7 +32,7 @@
 HANG = 3600.0  # s
 
 
-class Listing(StandIn):
+class Listing(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.config, self.recorder, self.loop = config, recorder, loop
         self.version: int = config["version"]
--- a/flaxstep/rig/staff.py
+++ b/flaxstep/faultbench/operators.py
@@ -1,4 +1,4 @@
-"""The platform's hands for releases on the rig: takes the calls of commands (`hand.py`) and does them.
+"""The platform's hands for releases on the rig: takes the calls of commands (`commands.py`) and does them.
 
 Beside it the farm file for a controller, whose calls go through links of their own like everybody's.
 """
@@ -15,11 +15,11 @@
 from datetime import datetime
 from pathlib import Path
 
-from flaxstep.rig.child import Child, shell_command
-from flaxstep.rig.record import Happened
-from flaxstep.rig.stage import Stage
-from flaxstep.rig.standin import RigError, loopback
-from releases.rim.http import text
+from flaxstep.faultbench.child_process import ChildProcess, shell_command
+from flaxstep.faultbench.fake_service import FaultBenchError, loopback
+from flaxstep.faultbench.farm import Farm
+from flaxstep.faultbench.records import Happened
+from flaxstep.rollout.io.http_client import text
 
 PORT = 1998
 CALLS = re.compile(r"^(\S+ \S+) INFO (s-\d+) is (out|back)$", re.MULTILINE)
@@ -34,10 +34,10 @@
 Do = Callable[..., Awaitable[str]]
 
 
-class Staff:
+class OperatorCommands:
     """`hang`: commands whose calls are never answered; `runs`: what starts a node's process, by version."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Farm) -> None:
         self.stage = stage
         self.hang: set[tuple[str, ...]] = set()
         self.runs: dict[str, str] = {}
@@ -63,7 +63,12 @@
     @property
     def command(self) -> list[str]:
         """The words before a call."""
-        return [sys.executable, "-B", str(Path(__file__).with_name("hand.py")), f"{self.stage.host}:{PORT}"]
+        return [
+            sys.executable,
+            "-B",
+            str(Path(__file__).with_name("commands.py")),
+            f"{self.stage.host}:{PORT}",
+        ]
 
     def commands(self, what: str) -> str:
         """The lines of a plan's table of commands."""
@@ -94,7 +99,7 @@
                 await reader.read()  # until the command is killed
                 return
             answer = {"ok": True, "text": await self.doing[do](*arguments)}
-        except (RigError, ValueError, KeyError) as error:
+        except (FaultBenchError, ValueError, KeyError) as error:
             answer = {"ok": False, "text": str(error)}
         finally:
             writer.write(json.dumps(answer).encode() + b"\n")
@@ -137,14 +142,14 @@
     async def version(self, name: str) -> str:
         server = int(name.removeprefix("s-"))
         if not self.stage.children[f"server:{server}"].alive:
-            raise RigError(f"{name}: no process runs")
+            raise FaultBenchError(f"{name}: no process runs")
         return self.stage.versions[server]
 
     async def check(self, name: str) -> str:
         host, port = self.stage.ways.servers[int(name.removeprefix("s-"))]
         status, answer = await text(f"{host}:{port}", "GET", "/selftest")
         if (status, answer) != (200, "42"):
-            raise RigError(f"{answer} is not 42")
+            raise FaultBenchError(f"{answer} is not 42")
         return answer
 
     # Nodes.
@@ -169,7 +174,7 @@
         _, address = self.door(name, door)
         child = self.stage.by_door.get(address)
         if child is None or not child[0].alive:
-            raise RigError(f"{name}: no process has its door at {door}")
+            raise FaultBenchError(f"{name}: no process has its door at {door}")
         return child[1]
 
 
@@ -177,10 +182,10 @@
     return f"{address[0]}:{address[1]}"
 
 
-async def run_controller(stage: Stage, plan: Path, farm: Path, log: Path) -> Child:
+async def run_controller(stage: Farm, plan: Path, farm: Path, log: Path) -> ChildProcess:
     """A controller as a process, as staff start one."""
     words = [sys.executable, "-B", "-m", "flaxstep", "release", "run", str(plan), "--farm", str(farm)]
     text = f"exec {shlex.join(words)} >>{shlex.quote(str(log))} 2>&1"
-    child = await Child.start("controller", shell_command(text), log)
+    child = await ChildProcess.start("controller", shell_command(text), log)
     stage.leaving.append(child)
     return child
--- a/flaxstep/lab/rigging.py
+++ b/flaxstep/simulator/fault_config.py
@@ -9,7 +9,7 @@
 import re
 from typing import Literal
 
-from flaxstep.lab.table import Natural, Part, Positive, Range, Table
+from flaxstep.simulator.config_types import Natural, Part, Positive, Range, Table
 
 AGAIN = ("kill", "term", "restart")  # what can be started again afterwards: nodes and servers
 LINK_FAULTS = ("delay", "rate", "silent", "reset", "refuse", "hold")
@@ -71,7 +71,7 @@
     crash_s: Natural = 0.0  # after which it ends, and is started again; 0: never
 
 
-class Rigging(Table, frozen=True):
+class FaultConfig(Table, frozen=True):
     """What the rig needs to know beyond what the lab does."""
 
     regions: dict[str, list[int]] = {}  # zones by region
--- a/flaxstep/lab/farm.py
+++ b/flaxstep/simulator/job_servers.py
@@ -13,8 +13,8 @@
 from heapq import heappop, heappush
 from typing import Protocol
 
-from cottonhall.interface import Result, State
-from flaxstep.lab.engine import Chance, Engine
+from flaxstep.routing.interface import Result, State
+from flaxstep.simulator.engine import Chance, Engine
 
 TICK = 100.0  # ms between looks at warmth, slowdown and tipping
 QUICK_ERROR = 1.0  # ms that a fast error takes
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class WorkTotals:
     """What servers of a day did, in ms of work."""
 
     useful: float = 0.0  # for answers that served
@@ -102,7 +102,7 @@
         plan: ServerPlan,
         choke: ChokePlan,
         tip: tuple[float, float, float],
-        tally: Tally,
+        tally: WorkTotals,
         chance: Chance,
         answer: Callable[[Attempt, Result], None],
     ) -> None:
--- a/flaxstep/lab/judge.py
+++ b/flaxstep/simulator/scoring.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from flaxstep.lab.scenario import Scenario
+from flaxstep.simulator.scenario import Scenario
 
 WINDOW = 10  # s of the worst stretch
 MOST_BREACHES = 50  # of a rule that are kept with their details; the rest are counted
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Judge:
+class Scorer:
     scenario: Scenario
     seconds: int
     asked: list[float] = field(default_factory=list)  # worth by second of the first try
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from badgercart import handover
-from badgercart.clients import stable_id
-from badgercart.handover import Handover, Shared
-from cottonhall.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
+from flaxstep.proxy import shared_state
+from flaxstep.proxy.client_connections import stable_id
+from flaxstep.proxy.shared_state import OperatorState, SharedState
+from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
 from tests.net import WAIT, Peer, Stand, request, running
 from tests.support import START, Stage, server, settings
 from tests.test_admin import DOOR, until
-from tests.test_figures import stats
+from tests.test_metrics import stats
 from tests.test_node import run
 
 
@@ -188,13 +188,13 @@
 def test_a_spoilt_file_is_logged_and_the_next_call_writes_a_good_one(
     tmp_path: Path, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    first = Handover(tmp_path, "n0", lambda before, now: None)
+    first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
     first.change(lambda shared: shared.without("s-1"))
     first.file.write_bytes(data)
-    second = Handover(tmp_path, "n0", lambda before, now: None)
+    second = SharedState(tmp_path, "n0", lambda before, now: None)
     second.start()
-    assert second.shared == Shared() and str(second.file) in caplog.text
+    assert second.shared == OperatorState() and str(second.file) in caplog.text
     first.change(lambda shared: shared.without("s-2"))
     second.look()
     assert second.shared.cordoned == {"s-1", "s-2"}
@@ -214,7 +214,7 @@
         assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 503
         assert stand.node.policy.cordoned == {stable_id(b"s-1")}
         tmp_path.mkdir()
-        successor = Handover(tmp_path, "n0", lambda before, now: None)
+        successor = SharedState(tmp_path, "n0", lambda before, now: None)
         async with asyncio.timeout(WAIT):
             while not successor.shared.cordoned:
                 await asyncio.sleep(0.02)
@@ -236,16 +236,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, code: int
 ) -> None:
     """One failed read is no proof that nobody is out, and none that no other process runs."""
-    first = Handover(tmp_path, "n0", lambda before, now: None)
+    first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
     first.change(lambda shared: shared.without("s-1"))
 
     def fail(path: Path) -> None:
         raise OSError(code, os.strerror(code))
 
-    second = Handover(tmp_path, "n0", lambda before, now: None)
+    second = SharedState(tmp_path, "n0", lambda before, now: None)
     with monkeypatch.context() as failing:
-        failing.setattr(handover, call, fail)
+        failing.setattr(shared_state, call, fail)
         second.start()
         assert not second.looked
     second.look()
@@ -259,11 +259,11 @@
 def test_a_node_takes_no_client_before_it_knows_who_is_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    before = Handover(tmp_path, "n0", lambda before, now: None)
+    before = SharedState(tmp_path, "n0", lambda before, now: None)
     before.start()
     before.change(lambda shared: shared.without("s-1"))
     before.close()
-    read, left = handover.read_limited, [3]
+    read, left = shared_state.read_limited, [3]
 
     def fail(path: Path) -> bytes:
         if left[0]:
@@ -271,7 +271,7 @@
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         return read(path)
 
-    monkeypatch.setattr(handover, "read_limited", fail)
+    monkeypatch.setattr(shared_state, "read_limited", fail)
 
     async def whole() -> None:
         async with running(await Peer().start(), admin=DOOR, shared=tmp_path) as stand:
@@ -282,8 +282,8 @@
 
 
 def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(handover, "LOCK_TIME", 0.02)
-    first, second = (Handover(tmp_path, "n0", lambda before, now: None) for _ in range(2))
+    monkeypatch.setattr(shared_state, "LOCK_TIME", 0.02)
+    first, second = (SharedState(tmp_path, "n0", lambda before, now: None) for _ in range(2))
     with first.locked(), pytest.raises(TimeoutError):
         second.change(lambda shared: shared.without("s-1"))
     assert not second.shared.cordoned
@@ -292,7 +292,7 @@
 
 
 def test_processes_see_each_other_and_nodes_of_other_names_do_not(tmp_path: Path) -> None:
-    first, second, other = (Handover(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
+    first, second, other = (SharedState(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
     first.start()
     other.start()
     assert not first.others and not other.others
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from flaxstep.rig.child import Child
-from flaxstep.rig.staff import Staff, run_controller
-from flaxstep.rig.stage import Stage
-from releases.acts import Phase, Standing
-from releases.farm import read_farm
-from releases.release import Release, State
-from releases.rim.store import LEASE, Kept, Store
+from flaxstep.faultbench.child_process import ChildProcess
+from flaxstep.faultbench.farm import Farm
+from flaxstep.faultbench.operators import OperatorCommands, run_controller
+from flaxstep.rollout.actions import MemberState, Phase
+from flaxstep.rollout.farm import read_farm
+from flaxstep.rollout.io.store import LEASE, Kept, Store
+from flaxstep.rollout.release import Release, State
 from tests.rigs import NODE, ROOT, Played, rig
 
 VERSIONS = """
@@ -74,8 +74,8 @@
 class Live:
     """A farm under load with a release under way."""
 
-    def __init__(self, stage: Stage, case: Case) -> None:
-        self.stage, self.staff = stage, Staff(stage)
+    def __init__(self, stage: Farm, case: Case) -> None:
+        self.stage, self.staff = stage, OperatorCommands(stage)
         self.controllers = 0
         time_limit, ready = case.limits
         text = PLAN.format(to=case.to, what=case.what, wait=case.wait, time_limit=time_limit, ready=ready)
@@ -84,7 +84,7 @@
         self.plan.write_text(text)
         self.farm = self.staff.farm_file()
 
-    async def control(self) -> Child:
+    async def control(self) -> ChildProcess:
         """Start a controller."""
         self.controllers += 1
         log = self.stage.folder / f"controller-{self.controllers}.log"
@@ -146,7 +146,7 @@
 
     code: int
     release: Release
-    members: dict[str, Standing]
+    members: dict[str, MemberState]
     versions: list[str]  # of the job servers
     calls: list[list[str]]
     play: Played
@@ -160,7 +160,7 @@
     """Play a release to its end under load; all is judged."""
     found: list[Done] = []
 
-    async def act(stage: Stage) -> bool:
+    async def act(stage: Farm) -> bool:
         live = Live(stage, case)
         await live.staff.open()
         try:
@@ -273,14 +273,20 @@
 
 def previous_node(folder: Path) -> str:
     """How to start the node as it was before its last change."""
-    words = ["git", "log", "-2", "--format=%H", "--", "badgercart", "cottonhall"]
-    before = subprocess.run(words, cwd=ROOT, capture_output=True, check=True, text=True).stdout.split()[-1]
+    places = ["flaxstep/proxy", "flaxstep/routing", "badgercart", "cottonhall"]  # the old layout last
+
+    def git(*words: str) -> bytes:
+        return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, check=True).stdout
+
+    before = git("log", "-2", "--format=%H", "--", *places).decode().split()[-1]
+    there = git("ls-tree", "--name-only", before, "--", *places).decode().split()
+    module = "badgercart"
+    if "flaxstep/proxy" in there:
+        there, module = ["flaxstep/__init__.py", *there], "flaxstep.proxy"
     folder.mkdir()
-    tar = subprocess.run(
-        ["git", "archive", before, "badgercart", "cottonhall"], cwd=ROOT, capture_output=True, check=True
-    )
-    subprocess.run(["tar", "-x", "-C", str(folder)], input=tar.stdout, check=True)
-    return f"cd {folder} && {NODE}"
+    tar = git("archive", before, *there)
+    subprocess.run(["tar", "-x", "-C", str(folder)], input=tar, check=True)
+    return f"cd {folder} && exec {sys.executable} -B -m {module}"
 
 
 def other_node(to_before: bool) -> Acts:
