--- a/flaxstep/proxy/discovery.py
+++ b/flaxstep/proxy/discovery.py
@@ -16,23 +16,29 @@
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Reach
 
-PATH = "/catalog/members"
-BEAT = 2.0  # s between the empty lines of a watch that has nothing to tell
+MEMBERS_PATH = "/catalog/members"
+HEARTBEAT_INTERVAL_S = 2.0  # s between the empty lines of a watch that has nothing to tell
 # A change counts as told 6 s after its watch fell silent, though it never arrived. So a watch that has said
 # nothing for this long, in s, is opened anew: not for a line that comes a little late, and in time for a call
 # that waits 3 s for its turn.
-SILENCE = BEAT + 0.5
+WATCH_IDLE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 0.5
 # s for the first of an answer. Calls of many nodes wait for one another, and who gives one up waits from the
 # end of the line again.
-ANSWER_TIME = 10.0
-SECOND_CALL = 3.5  # s without an answer after which a second call is made beside the first: that may be lost
-WAITING = 0.3  # s without an answer after which discovery, which has taken the connection, lets the call wait
-CALL_TIME = 2.0  # s for a connection to come up
-PART_TIME = 2.0  # s without a byte of a list that has come in part after which it is fetched whole
-RETRY_FIRST, RETRY_MOST = 0.05, 1.0  # s between tries
+RESPONSE_TIMEOUT_S = 10.0
+SECOND_CALL_DELAY_S = (
+    3.5  # s without an answer after which a second call is made beside the first: that may be lost
+)
+WAITING_NOTICE_DELAY_S = (
+    0.3  # s without an answer after which discovery, which has taken the connection, lets the call wait
+)
+CONNECT_TIMEOUT_S = 2.0  # s for a connection to come up
+PARTIAL_LIST_TIMEOUT_S = (
+    2.0  # s without a byte of a list that has come in part after which it is fetched whole
+)
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # s between tries
 # The longest while nobody answers and lists are pushed: what discovery has at its return counts at once.
-RETRY_PUSHED = 0.1
-MAX_LINE = 8 << 20  # bytes
+MAX_RETRY_DELAY_PUSHED_S = 0.1
+MAX_LIST_BYTES = 8 << 20  # bytes
 
 log = logging.getLogger("flaxstep.proxy")
 
@@ -57,7 +63,7 @@
     """Discovery has ended the connection."""
 
 
-LOSES_NEWS = (MalformedListError, IncompleteListError, httptools.HttpParserError)
+UPDATE_LOST_ERRORS = (MalformedListError, IncompleteListError, httptools.HttpParserError)
 
 
 class Objects:
@@ -123,7 +129,7 @@
         self.parser.feed_data(chunk)
         if self.parser.get_status_code() not in (0, 200):
             raise StatusError(f"status {self.parser.get_status_code()}")
-        if len(self.data) > MAX_LINE:
+        if len(self.data) > MAX_LIST_BYTES:
             raise MalformedListError("a line over the limit")
 
 
@@ -134,7 +140,7 @@
         self.client = client
         self.address = client.address  # the client may move while the call is under way
         self.whole = whole
-        self.path = PATH if whole else f"{PATH}?watch=1&from={client.version}"
+        self.path = MEMBERS_PATH if whole else f"{MEMBERS_PATH}?watch=1&from={client.version}"
         self.begun = now_ms()
         self.connected = False
         self.unfinished = False  # a part of a list has come
@@ -166,7 +172,7 @@
             if timed_out or isinstance(error, ConnectionRefusedError):
                 return Reach.UNREACHABLE
             return Reach.RESET if isinstance(error, ConnectionError) else Reach.OWN_FAILURE
-        if self.unfinished or isinstance(error, LOSES_NEWS):
+        if self.unfinished or isinstance(error, UPDATE_LOST_ERRORS):
             return Reach.NEWS_LOST
         if self.answered_at is not None:
             if self.whole:
@@ -193,10 +199,12 @@
 
     async def exchange(self) -> None:
         host, port = self.address
-        async with asyncio.timeout(CALL_TIME):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
         self.connected = True
-        self.waiting = self.client.loop.call_later(WAITING, self.client.on_reach, Reach.WAITING, self.begun)
+        self.waiting = self.client.loop.call_later(
+            WAITING_NOTICE_DELAY_S, self.client.on_reach, Reach.WAITING, self.begun
+        )
         try:
             writer.write(f"GET {self.path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
             await (self.read_whole(reader) if self.whole else self.read_watch(reader))
@@ -206,14 +214,14 @@
     async def read_whole(self, reader: asyncio.StreamReader) -> None:
         body = Body()
         while not body.complete:
-            await body.more(reader, ANSWER_TIME)
+            await body.more(reader, RESPONSE_TIMEOUT_S)
             self.unfinished = bool(body.data)
         self.unfinished = False
         with self.malformed():
             self.take(json.loads(body.data))
 
     async def read_watch(self, reader: asyncio.StreamReader) -> None:
-        body, objects, within = Body(), Objects(), ANSWER_TIME
+        body, objects, within = Body(), Objects(), RESPONSE_TIMEOUT_S
         while not body.complete:
             try:
                 await body.more(reader, within)
@@ -224,13 +232,13 @@
             with self.malformed():
                 for value in objects.feed(bytes(body.data)):
                     self.take(value)
-            if len(objects.lines) + len(objects.rest) > MAX_LINE:
+            if len(objects.lines) + len(objects.rest) > MAX_LIST_BYTES:
                 raise MalformedListError("a list over the limit")
             self.unfinished = objects.begun
             if objects.begun:
-                within = PART_TIME
+                within = PARTIAL_LIST_TIMEOUT_S
             elif body.data:
-                within = SILENCE
+                within = WATCH_IDLE_TIMEOUT_S
                 self.confirmed()  # also by an empty line: nothing has changed
             body.data.clear()
         raise DiscoveryError("the watch ended")
@@ -253,7 +261,7 @@
                 self.waiting.cancel()
             self.client.answered(self)
         if self.client.version is not None:
-            self.client.retry, self.client.failing = RETRY_FIRST, False
+            self.client.retry, self.client.failing = MIN_RETRY_DELAY_S, False
         self.client.on_reach(Reach.CONFIRMED, self.begun)
 
     @contextmanager
@@ -290,7 +298,7 @@
         self.random = rng
         self.loop = loop
         self.version: int | None = None  # of the list in force; None: the whole list is wanted
-        self.retry = RETRY_FIRST
+        self.retry = MIN_RETRY_DELAY_S
         self.failing = False
         self.unanswered = False  # the latest call: refused or reset
         self.calls: dict[asyncio.Task[None], Call] = {}  # under way
@@ -298,7 +306,7 @@
 
     def move(self, address: Address) -> None:
         """The next call goes there. What failed at the old address is no reason to wait."""
-        self.address, self.retry, self.failing = address, RETRY_FIRST, False
+        self.address, self.retry, self.failing = address, MIN_RETRY_DELAY_S, False
         for task in self.calls:
             task.cancel()  # what still comes from the old address confirms nothing
 
@@ -317,7 +325,7 @@
                 self.version = None
             # Nodes that lost discovery together must not come back together.
             await asyncio.sleep(self.retry * (0.5 + self.random.random()))
-            most = RETRY_PUSHED if self.pushed and self.unanswered else RETRY_MOST
+            most = MAX_RETRY_DELAY_PUSHED_S if self.pushed and self.unanswered else MAX_RETRY_DELAY_S
             self.retry = min(2 * self.retry, most)
 
     async def follow(self) -> None:
@@ -328,7 +336,7 @@
         failure: BaseException | None = None
         try:
             while self.calls:
-                within = None if second or self.one_answers else SECOND_CALL
+                within = None if second or self.one_answers else SECOND_CALL_DELAY_S
                 done, _ = await asyncio.wait(self.calls, timeout=within, return_when=asyncio.FIRST_COMPLETED)
                 if not done and not self.one_answers:
                     second = True
--- a/flaxstep/proxy/member_list.py
+++ b/flaxstep/proxy/member_list.py
@@ -14,8 +14,8 @@
 from flaxstep.routing.interface import ListKind, ServerEntry, State
 from flaxstep.routing.membership import MAX_TOMBSTONES, Membership
 
-STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
-MAX_TOLD = 1024  # faults that are remembered so that each is logged once
+STATE_BY_LIFECYCLE = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+MAX_LOGGED_FAULTS = 1024  # faults that are remembered so that each is logged once
 
 log = logging.getLogger("flaxstep.proxy")
 
@@ -155,8 +155,8 @@
         return Endpoint(entry, address, name, started_at)
 
     def _state(self, name: str, word: object) -> State | None:
-        if isinstance(word, str) and word in STATES:
-            return STATES[word]
+        if isinstance(word, str) and word in STATE_BY_LIFECYCLE:
+            return STATE_BY_LIFECYCLE[word]
         self._log(_Fault(name, "lifecycle", word))
         return State.DRAINING if isinstance(word, str) else None  # whatever it is in, it is not active
 
@@ -210,7 +210,7 @@
         if words in self.told:
             return
         self.told[words] = None
-        if len(self.told) > MAX_TOLD:
+        if len(self.told) > MAX_LOGGED_FAULTS:
             self.told.popitem(last=False)
         log.warning("discovery: %s; the other entries hold", words)
 
--- a/flaxstep/proxy/metrics.py
+++ b/flaxstep/proxy/metrics.py
@@ -10,8 +10,8 @@
 from flaxstep.routing.interface import NEVER_RAN, Result
 
 PREFIX = "edge_router"
-PER_OCTAVE = 4  # buckets of answer times to a doubling: within 19%
-BUCKETS = 64  # from 1 ms to 65 s
+BUCKETS_PER_DOUBLING = 4  # buckets of answer times to a doubling: within 19%
+BUCKET_COUNT = 64  # from 1 ms to 65 s
 
 
 class Metrics:
@@ -71,7 +71,7 @@
         if answers is None:
             return
         if result is Result.OK:
-            answers.took[cls][min(int(PER_OCTAVE * math.log2(took + 1.0)), BUCKETS - 1)] += 1
+            answers.took[cls][min(int(BUCKETS_PER_DOUBLING * math.log2(took + 1.0)), BUCKET_COUNT - 1)] += 1
         elif result in NEVER_RAN:
             answers.unstarted[cls] += 1
         else:
@@ -106,7 +106,7 @@
         self.name, self.started = name, started
         self.failed = [0] * classes  # errors, resets and time-outs: they may have run
         self.unstarted = [0] * classes  # turned away, or no connection
-        self.took = [[0] * BUCKETS for _ in range(classes)]
+        self.took = [[0] * BUCKET_COUNT for _ in range(classes)]
 
     def of(self, cls: int) -> dict[str, object]:
         took = [(bucket, count) for bucket, count in enumerate(self.took[cls]) if count]
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -64,20 +64,26 @@
 
 # ms kept back from a client's time, for the way there. Clients may give only 40 ms in all, and a final answer
 # from a late loop has the rule's slack besides.
-MARGIN = 10.0
-SPARE_SOCKETS = 64  # descriptors for listeners, discovery, files, callers, and connections that are closing
-BODIES = 8  # the part of the memory that bodies in hand may take: one in so many
-FIRST_LIST = 1.0  # s that a process with a list from before waits for a discovery that is down
-START_MOST = 5.0  # s after which it says that it is ready, whatever discovery does
-ACCEPT_FOR = 0.6  # s after SIGTERM during which new connections are accepted
-TAKE_FOR = 0.7  # s after SIGTERM in which requests still come: SIGKILL follows a deadline and this long after
-DRAIN_MOST = 60.0  # s after SIGTERM at which the node ends though a client still has not taken its answer
-SHARED_LOOK = 0.1  # s between looks at what another process of this node has written
-LISTEN_FOR = 8.0  # s from the start for which the node tries to listen: it has to be ready within 10 s
-LISTEN_AGAIN = 0.1  # s between those tries
-SHORTAGES = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN})
-LOGGED_CHANGES = 4  # endpoints that a line about a list names
-DRAIN_LOOK = 0.02  # s between looks whether all clients are answered
+CLIENT_TIMEOUT_MARGIN_MS = 10.0
+RESERVED_DESCRIPTORS = (
+    64  # descriptors for listeners, discovery, files, callers, and connections that are closing
+)
+BODY_MEMORY_DIVISOR = 8  # the part of the memory that bodies in hand may take: one in so many
+CACHED_LIST_WAIT_S = 1.0  # s that a process with a list from before waits for a discovery that is down
+MAX_STARTUP_WAIT_S = 5.0  # s after which it says that it is ready, whatever discovery does
+ACCEPT_AFTER_SIGTERM_S = 0.6  # s after SIGTERM during which new connections are accepted
+READ_AFTER_SIGTERM_S = (
+    0.7  # s after SIGTERM in which requests still come: SIGKILL follows a deadline and this long after
+)
+MAX_DRAIN_S = 60.0  # s after SIGTERM at which the node ends though a client still has not taken its answer
+SHARED_STATE_POLL_S = 0.1  # s between looks at what another process of this node has written
+MAX_LISTEN_RETRY_S = (
+    8.0  # s from the start for which the node tries to listen: it has to be ready within 10 s
+)
+LISTEN_RETRY_DELAY_S = 0.1  # s between those tries
+RESOURCE_SHORTAGE_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN})
+MAX_LOGGED_ENDPOINTS = 4  # endpoints that a line about a list names
+DRAIN_POLL_S = 0.02  # s between looks whether all clients are answered
 
 log = logging.getLogger("flaxstep.proxy")
 
@@ -99,7 +105,7 @@
 def connection_limits(sockets: int) -> tuple[int, int]:
     """Connections of clients and to servers. A third for servers: few requests are in flight at once, but
     clients keep what they have opened."""
-    left = sockets - min(SPARE_SOCKETS, sockets // 4)
+    left = sockets - min(RESERVED_DESCRIPTORS, sockets // 4)
     return left - left // 3, left // 3
 
 
@@ -124,7 +130,7 @@
         clients, servers = connection_limits(config.sockets)
         self.figures = Metrics(name.decode("latin-1") for name in config.classes)
         self.by_server = ServerMetrics(self.figures.classes)
-        self.body_budget = BodyBudget((config.memory_mb << 20) // BODIES)
+        self.body_budget = BodyBudget((config.memory_mb << 20) // BODY_MEMORY_DIVISOR)
         self.pool = ServerPool(
             loop, config.dial_timeout, config.idle_timeout, servers, self, self.figures, self.body_budget
         )
@@ -242,7 +248,11 @@
         request_id = client.request_id = self.last_id
         upload = request.message.upload
         uploading = upload is not None and not upload.whole
-        due = max(request.sent, now_ms() if upload is not None else 0.0) + request.timeout - MARGIN
+        due = (
+            max(request.sent, now_ms() if upload is not None else 0.0)
+            + request.timeout
+            - CLIENT_TIMEOUT_MARGIN_MS
+        )
         if uploading:
             due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
         self.held[request_id] = PendingRequest(
@@ -264,7 +274,7 @@
             return
         held.uploading = False
         if held.attempt is None:  # else its answer has begun already
-            held.due = now_ms() + held.timeout - MARGIN
+            held.due = now_ms() + held.timeout - CLIENT_TIMEOUT_MARGIN_MS
             self.tell(Uploaded(request_id, held.due))
 
     def client_gone(self, request_id: int) -> None:
@@ -368,7 +378,7 @@
         self.pool.update(entry.id, endpoint.address, entry.state, entry.started)
 
     def log_list(self, members: MemberList) -> None:
-        first = members.endpoints[:LOGGED_CHANGES]
+        first = members.endpoints[:MAX_LOGGED_ENDPOINTS]
         changed = ", ".join(f"{each.name} {each.entry.state.name.lower()}" for each in first)
         left = len(members.endpoints) - len(first)
         more = f" and {left} more" if left else ""
@@ -418,7 +428,7 @@
         if self.config.settings.ask_for_list or self.told.is_set():
             return True
         age = self.loop.time() - self.born
-        return age >= START_MOST or (age >= FIRST_LIST and self.policy.lease.valid(now_ms()))
+        return age >= MAX_STARTUP_WAIT_S or (age >= CACHED_LIST_WAIT_S and self.policy.lease.valid(now_ms()))
 
     def tell_health(self, _: bytes) -> Reply:
         if self.ready:
@@ -501,7 +511,7 @@
                 self.tell(Uncordon(stable_id(name.encode()), self.handover.returned_at(name, at)))
 
     def look_at_shared(self) -> None:
-        self.loop.call_later(SHARED_LOOK, self.look_at_shared)
+        self.loop.call_later(SHARED_STATE_POLL_S, self.look_at_shared)
         two = self.handover.others
         self.handover.look()
         if self.handover.others != two:
@@ -511,7 +521,7 @@
     def share_room(self) -> None:
         """Two processes are one node: each keeps to half of what it may hold."""
         parts = 2 if self.handover.others else 1
-        self.body_budget.budget = (self.config.memory_mb << 20) // BODIES // parts
+        self.body_budget.budget = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // parts
         clients, servers = connection_limits(self.config.sockets // parts)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
@@ -540,8 +550,8 @@
             self.door = await self.persist(lambda: door.start(address))
             self.look_at_shared()
         self.watch = self.loop.create_task(self.discovery.run())
-        while not self.handover.looked and self.loop.time() - self.born < START_MOST:
-            await asyncio.sleep(SHARED_LOOK)  # who is out may stand there
+        while not self.handover.looked and self.loop.time() - self.born < MAX_STARTUP_WAIT_S:
+            await asyncio.sleep(SHARED_STATE_POLL_S)  # who is out may stand there
         if self.handover.others:
             await self.wait_to_succeed()
         self.server = await self.persist(self.listener.start)
@@ -553,16 +563,19 @@
             try:
                 return await listen()
             except OSError as error:
-                if error.errno not in SHORTAGES or self.loop.time() - self.born > LISTEN_FOR:
+                if (
+                    error.errno not in RESOURCE_SHORTAGE_ERRNOS
+                    or self.loop.time() - self.born > MAX_LISTEN_RETRY_S
+                ):
                     raise
                 log.warning("not listening yet: %s", error)
-            await asyncio.sleep(LISTEN_AGAIN)
+            await asyncio.sleep(LISTEN_RETRY_DELAY_S)
 
     async def wait_to_succeed(self) -> None:
         """While the old process serves, nothing may come to this one that it can't serve as well."""
         self.share_room()
         with suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_LIST if self.healthy else None):
+            async with asyncio.timeout(CACHED_LIST_WAIT_S if self.healthy else None):
                 await self.told.wait()
 
     def expect_move(self) -> None:
@@ -585,12 +598,12 @@
         log.info("stopping: %d requests held", len(self.held))
         if self.server is not None:
             self.listener.close_idle()
-            await asyncio.sleep(ACCEPT_FOR)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.listener.stop()
         # Whoever has not sent its whole request by then can't have its time before SIGKILL may come.
-        await self.emptied(begun + TAKE_FOR)
+        await self.emptied(begun + READ_AFTER_SIGTERM_S)
         self.listener.turn_away()
-        await self.emptied(begun + DRAIN_MOST)
+        await self.emptied(begun + MAX_DRAIN_S)
         self.close()  # the list is followed to the end: what is held may still be sent again
         log.info("stopped")
 
@@ -598,7 +611,7 @@
         """Wait until all clients have their answers and have closed, or until then by the loop's clock."""
         while self.listener.occupied and self.loop.time() < until:
             self.listener.close_idle()
-            await asyncio.sleep(DRAIN_LOOK)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self) -> None:
         for server in (self.server, self.door):
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -18,22 +18,24 @@
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Result, State
 
-HOLD = 0.025  # s for which an answer of unknown length is held, in case that it is short
-STALL_TIME = 5.0  # s without taking a byte of a request after which a server gets no more of it
-SILENCE = 15.0  # s without a byte of an answer that is passed on after which it is given up
-IDLE_MARGIN = 2000.0  # ms before the server's own limit: its close must not cross a request of ours
+UNSIZED_BODY_DELAY_S = 0.025  # s for which an answer of unknown length is held, in case that it is short
+REQUEST_WRITE_TIMEOUT_S = 5.0  # s without taking a byte of a request after which a server gets no more of it
+RESPONSE_READ_TIMEOUT_S = 15.0  # s without a byte of an answer that is passed on after which it is given up
+IDLE_TIMEOUT_MARGIN_MS = (
+    2000.0  # ms before the server's own limit: its close must not cross a request of ours
+)
 # ms before a connection is used again: a second answer to the request before, which some servers send some
 # milliseconds late, would pass for the next one's. Seen up to 4.6 ms late, so twice that.
-REST = 10.0
-SWEEP = 1.0  # s between looks for connections that have been idle for too long
-IDLE_STEPS = (50.0, 75.0, 100.0, 150.0, 200.0, 300.0, 400.0, 800.0, 1600.0)  # ms idle, to tell resets by
-STALE_LEAST, STALE_SHARE = (
+CONNECTION_REUSE_DELAY_MS = 10.0
+IDLE_SWEEP_INTERVAL_S = 1.0  # s between looks for connections that have been idle for too long
+IDLE_BUCKETS_MS = (50.0, 75.0, 100.0, 150.0, 200.0, 300.0, 400.0, 800.0, 1600.0)  # ms idle, to tell resets by
+MIN_IDLE_RESETS, IDLE_RESET_RATE_MARGIN = (
     3.0,
     0.2,
 )  # resets, and how much more often than others, that tell
 # Why a connection is closed at once, whatever its buffer holds.
-RESET_CAUSES = frozenset({"bytes_unasked", "makes_room", "came_up_late", "endpoint_changed_while_connecting"})
-FORGET = 5  # sweeps after which what was seen counts half
+ABORT_CAUSES = frozenset({"bytes_unasked", "makes_room", "came_up_late", "endpoint_changed_while_connecting"})
+IDLE_STATS_HALF_LIFE_SWEEPS = 5  # sweeps after which what was seen counts half
 
 log = logging.getLogger("flaxstep.proxy")
 
@@ -97,30 +99,30 @@
 
     def __init__(self, most: float) -> None:
         self.most = self.ms = most
-        self.used = [0.0] * (len(IDLE_STEPS) + 1)  # by the idle time before
+        self.used = [0.0] * (len(IDLE_BUCKETS_MS) + 1)  # by the idle time before
         self.reset = self.used[:]
         self.sweeps = 0
 
     def note(self, idle: float, reset: bool) -> None:
         """How an attempt on a used connection ended."""
-        step = bisect(IDLE_STEPS, idle)
+        step = bisect(IDLE_BUCKETS_MS, idle)
         self.used[step] += 1
         if reset:
             self.reset[step] += 1
             self.learn()
 
     def learn(self) -> None:
-        for i, step in enumerate(IDLE_STEPS, 1):
+        for i, step in enumerate(IDLE_BUCKETS_MS, 1):
             resets, uses = sum(self.reset[i:]), sum(self.used[i:])
             others = sum(self.reset[:i]) / max(sum(self.used[:i]), 1.0)
-            if resets >= STALE_LEAST and resets / uses > others + STALE_SHARE:
+            if resets >= MIN_IDLE_RESETS and resets / uses > others + IDLE_RESET_RATE_MARGIN:
                 self.ms = min(step, self.most)
                 return
         self.ms = self.most
 
     def swept(self) -> None:
         self.sweeps += 1
-        if self.sweeps % FORGET == 0:
+        if self.sweeps % IDLE_STATS_HALF_LIFE_SWEEPS == 0:
             self.used = [count / 2 for count in self.used]
             self.reset = [count / 2 for count in self.reset]
             self.learn()
@@ -186,7 +188,7 @@
 
     def close(self, cause: str) -> None:
         event("upstream_closed", endpoint=self.server.id, cause=cause)
-        if cause in RESET_CAUSES:
+        if cause in ABORT_CAUSES:
             self.transport.abort()
         else:
             self.transport.close()
@@ -262,7 +264,7 @@
     def pause_writing(self) -> None:
         if self.attempt is not None and self.attempt.message.upload is not None:
             self.attempt.message.upload.source.pause_upload(True)
-            self.stall = self.pool.loop.call_later(STALL_TIME, self.stalled)
+            self.stall = self.pool.loop.call_later(REQUEST_WRITE_TIMEOUT_S, self.stalled)
 
     def resume_writing(self) -> None:
         if self.stall is not None:
@@ -392,7 +394,7 @@
         if self.parser.get_status_code() != 200:
             return
         if self.length is None:
-            self.hold = self.pool.loop.call_later(HOLD, self.begin)
+            self.hold = self.pool.loop.call_later(UNSIZED_BODY_DELAY_S, self.begin)
         elif self.length > BUFFERED_BODY_BYTES:
             self.begin()
 
@@ -449,7 +451,7 @@
     ) -> None:
         self.loop = loop
         self.dial_timeout = dial_timeout
-        self.keep_idle = IdleLimit(max(idle_timeout - IDLE_MARGIN, idle_timeout / 2))
+        self.keep_idle = IdleLimit(max(idle_timeout - IDLE_TIMEOUT_MARGIN_MS, idle_timeout / 2))
         self.max_connections = max_connections
         self.on_end, self.on_begin, self.on_part = (
             taker.attempt_ended,
@@ -462,7 +464,7 @@
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[ServerConnection] = set()
         self.dials = 0
-        self.loop.call_later(SWEEP, self.sweep)
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep)
 
     def update(self, server_id: int, address: Address, state: State, started: float) -> None:
         """Take over a line of the server list."""
@@ -508,7 +510,7 @@
         self.attempts[request_id, number] = attempt
         attempt.timer = self.loop.call_later(max(0.0, limit) / 1000, self.expire, attempt)
         idle, rested = server.idle, len(server.idle)
-        while rested and now - idle[rested - 1].idle_since < REST:
+        while rested and now - idle[rested - 1].idle_since < CONNECTION_REUSE_DELAY_MS:
             rested -= 1
         while rested:
             rested -= 1
@@ -519,7 +521,7 @@
             return
         # What is left of its rest is far less than it takes to open another.
         attempt.resting = idle.pop(0)
-        left = attempt.resting.idle_since + REST - now
+        left = attempt.resting.idle_since + CONNECTION_REUSE_DELAY_MS - now
         attempt.dial = self.loop.call_later(left / 1000, self.rested, attempt)
 
     def start_on(self, connection: ServerConnection, attempt: Attempt, now: float) -> bool:
@@ -598,13 +600,13 @@
             insort(idle, connection, key=lambda other: other.idle_since)
 
     def sweep(self) -> None:
-        self.loop.call_later(SWEEP, self.sweep)
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep)
         self.keep_idle.swept()
         before = now_ms() - self.keep_idle.ms
         for server in self.servers.values():
             while server.idle and server.idle[0].idle_since < before:
                 server.idle.pop(0).close("idle")
-        silent = now_ms() - 1000 * SILENCE
+        silent = now_ms() - 1000 * RESPONSE_READ_TIMEOUT_S
         for connection in [attempt.connection for attempt in self.attempts.values() if attempt.streaming]:
             if connection is not None and not connection.held and connection.heard < silent:
                 connection.give_up(Result.RESET)
--- a/flaxstep/proxy/shared_state.py
+++ b/flaxstep/proxy/shared_state.py
@@ -18,14 +18,14 @@
 from pathlib import Path
 from typing import Any
 
-MAX_FILE = 1 << 20  # bytes; what is larger was not written here
-LOCK_TIME = 0.1  # s to wait for the lock: whoever holds it needs far less
+MAX_FILE_BYTES = 1 << 20  # bytes; what is larger was not written here
+LOCK_TIMEOUT_S = 0.1  # s to wait for the lock: whoever holds it needs far less
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 def load_limited(data: bytes) -> Any:
-    if len(data) > MAX_FILE:
+    if len(data) > MAX_FILE_BYTES:
         raise ValueError("over the limit")
     return json.loads(data)
 
@@ -257,7 +257,7 @@
         """Alone among the node's processes. A holder that hangs must not hang this one too."""
         descriptor = os.open(self.lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            end = time.monotonic() + LOCK_TIME
+            end = time.monotonic() + LOCK_TIMEOUT_S
             while True:
                 with suppress(BlockingIOError):
                     fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -273,7 +273,7 @@
 def read_limited(path: Path) -> bytes:
     """A file of ours, or as much of it as shows that it is too large to be one."""
     with path.open("rb") as file:
-        return file.read(MAX_FILE + 1)
+        return file.read(MAX_FILE_BYTES + 1)
 
 
 def file_stamp(path: Path) -> tuple[int, int] | None:
--- a/flaxstep/proxy/wall_clock.py
+++ b/flaxstep/proxy/wall_clock.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-STEP = 1000.0  # ms by which the two clocks may drift apart before it is called a step
+MIN_STEP_MS = 1000.0  # ms by which the two clocks may drift apart before it is called a step
 
 
 def unix_ms() -> float:
@@ -37,7 +37,7 @@
         step = offset - self.offset
         self.offset = offset
         self.lowest = min(self.lowest, offset)
-        return step if abs(step) >= STEP else 0.0
+        return step if abs(step) >= MIN_STEP_MS else 0.0
 
     def moment(self, unix: float) -> float:
         """When that was on the monotonic clock, at the latest; never ahead of now."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -157,7 +157,7 @@
 
 
 def test_sigterm_ends_a_quiesced_node_and_leaves_no_way_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
+    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_AFTER_SIGTERM_S", 0.3)
 
     async def test() -> None:
         async with running(await Peer().start(), admin=DOOR) as stand:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -286,7 +286,7 @@
 def test_a_server_that_never_takes_the_rest_is_given_up_and_the_request_has_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
+    monkeypatch.setattr(server_connections, "REQUEST_WRITE_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with taking(attempts=3) as (stand, taker):
@@ -549,8 +549,8 @@
 
 
 def test_an_answer_that_falls_silent_half_way_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connections, "SILENCE", 0.2)
-    monkeypatch.setattr(server_connections, "SWEEP", 0.05)
+    monkeypatch.setattr(server_connections, "RESPONSE_READ_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(server_connections, "IDLE_SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer(answer(ANSWERS["length"][:500_000])).start()) as stand:
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -282,7 +282,7 @@
 
 
 def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shared_state, "LOCK_TIME", 0.02)
+    monkeypatch.setattr(shared_state, "LOCK_TIMEOUT_S", 0.02)
     first, second = (SharedState(tmp_path, "n0", lambda before, now: None) for _ in range(2))
     with first.locked(), pytest.raises(TimeoutError):
         second.change(lambda shared: shared.without("s-1"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -405,7 +405,7 @@
 
 
 def test_the_attempt_that_is_given_up_ends_before_the_next_is_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connections, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "CONNECTION_REUSE_DELAY_MS", 0.0)
     seen: list[bytes] = []
 
     async def test() -> None:
@@ -565,7 +565,7 @@
 def test_what_came_on_an_idle_connection_and_is_not_read_yet_is_seen(
     happen: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_connections, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "CONNECTION_REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
         peer = RawPeer()
@@ -624,7 +624,7 @@
 def test_an_answer_without_a_length_ends_with_its_stream_and_not_with_a_reset(
     how: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_connections, "HOLD", 60.0)
+    monkeypatch.setattr(server_connections, "UNSIZED_BODY_DELAY_S", 60.0)
 
     class Spoken(RawPeer):
         async def answer(self, sock: socket.socket) -> None:
@@ -699,7 +699,7 @@
 
 
 def test_a_list_whose_rest_never_comes_is_fetched_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PART_TIME", 0.05)
+    monkeypatch.setattr(discovery, "PARTIAL_LIST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -712,8 +712,12 @@
 
 def test_a_silent_watch_is_opened_anew_in_time_for_a_call_that_waits_its_turn() -> None:
     # Told 6 s after it fell silent, 0.5 s more for drains; a call waits 3 s before discovery fails it.
-    assert discovery.BEAT + 0.5 <= discovery.SILENCE <= 6.0 + 0.5 - 3.0 - discovery.RETRY_FIRST * 1.5
-    assert discovery.ANSWER_TIME > 3.0
+    assert (
+        discovery.HEARTBEAT_INTERVAL_S + 0.5
+        <= discovery.WATCH_IDLE_TIMEOUT_S
+        <= 6.0 + 0.5 - 3.0 - discovery.MIN_RETRY_DELAY_S * 1.5
+    )
+    assert discovery.RESPONSE_TIMEOUT_S > 3.0
 
 
 def test_a_client_that_leaves_just_as_room_is_made_holds_up_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 
 from flaxstep.proxy import client_connections, discovery, node, server_connections
 from flaxstep.proxy.client_connections import stable_id
-from flaxstep.proxy.node import MARGIN
+from flaxstep.proxy.node import CLIENT_TIMEOUT_MARGIN_MS
 from flaxstep.proxy.server_connections import IdleLimit, ServerConnection
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import (
@@ -380,7 +380,7 @@
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
             left = field(await peer.requests.get(), b"Request-Timeout")
-            assert left is not None and int(left[:-1]) <= 3000 - MARGIN
+            assert left is not None and int(left[:-1]) <= 3000 - CLIENT_TIMEOUT_MARGIN_MS
 
     run(test())
 
@@ -557,7 +557,7 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 0.05)
+    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -617,7 +617,7 @@
             stand.node.take_reach(Reach.CONFIRMED, now_ms())
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
-        monkeypatch.setattr(node, "FIRST_LIST", 0.0)
+        monkeypatch.setattr(node, "CACHED_LIST_WAIT_S", 0.0)
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
@@ -698,7 +698,7 @@
             client, answers = await stand.client(), []
             for _ in range(8):
                 for _ in range(8):
-                    clock[0] += server_connections.REST
+                    clock[0] += server_connections.CONNECTION_REUSE_DELAY_MS
                     answers.append((await client.ask(request("pay")))[0])
                 clock[0] += 500
             assert answers.count(502) == 3
