--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -197,7 +197,7 @@
         self.pool.send(action.id, number, action.server, limit, action.within, held.message)
 
     def limit(self, action: Limit) -> None:
-        self.pool.limit(action.id, action.attempt, action.limit)
+        self.pool.set_timeout(action.id, action.attempt, action.limit)
 
     def refuse(self, action: Refuse) -> None:
         self.log_final("refused", action)
@@ -225,7 +225,7 @@
         held = self.held.pop(request_id, None)
         if held is not None:
             for number in range(held.sends):
-                self.pool.unsend(request_id, number)
+                self.pool.cancel_unsent(request_id, number)
         return held
 
     def cancel(self, action: Cancel) -> None:
@@ -283,12 +283,12 @@
             return
         self.tell(Withdrawn(request_id))
         if held.attempt is not None:  # its answer is the client's: with the client it ends
-            self.pool.drop(held.attempt, Result.CANCELLED)
+            self.pool.abort_attempt(held.attempt, Result.CANCELLED)
 
     def pause_response(self, request_id: int, hold: bool) -> None:
         held = self.held.get(request_id)
         if held is not None and held.attempt is not None and held.attempt.connection is not None:
-            held.attempt.connection.hold_answer(hold)
+            held.attempt.connection.pause_reading_response(hold)
 
     # From servers.
 
@@ -314,7 +314,7 @@
             attempt=attempt.number,
             endpoint=attempt.server.id,
             result=result.name.lower(),
-            written=attempt.written,
+            written=attempt.request_written,
             ms=elapsed,
         )
         if held is not None and result is not Result.CANCELLED:
@@ -326,7 +326,7 @@
     def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
         request_id, held = attempt.request_id, self.held.get(attempt.request_id)
         if held is None:  # it is over: nobody waits for the answer
-            self.pool.drop(attempt, Result.CANCELLED)
+            self.pool.abort_attempt(attempt, Result.CANCELLED)
             return
         held.attempt = attempt
         elapsed = now_ms() - attempt.started
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -46,7 +46,7 @@
 
     head: bytes  # request line and header lines, but for the length
     body: bytes
-    post: bool = False  # has a body, maybe an empty one
+    has_body: bool = False  # has a body, maybe an empty one
     upload: Upload | None = None  # what the body comes from where it is not held whole
     request_id: bytes = b""  # the client's, for the log
 
@@ -69,12 +69,12 @@
     message: ForwardedRequest
     started: float
     deadline: float
-    latest: float  # clock time from which it may not go out any more
-    timer: asyncio.TimerHandle | None = None
-    dial: asyncio.Task[None] | asyncio.TimerHandle | None = None  # until it has its connection
-    resting: ServerConnection | None = None  # the one that it waits for
+    send_before: float  # clock time from which it may not go out any more
+    timeout_timer: asyncio.TimerHandle | None = None
+    connection_wait: asyncio.Task[None] | asyncio.TimerHandle | None = None  # until it has its connection
+    reserved_connection: ServerConnection | None = None  # the one that it waits for
     connection: ServerConnection | None = None
-    written: bool = False  # whole: from now on it may have run
+    request_written: bool = False  # whole: from now on it may have run
     streaming: bool = False  # its answer is passed on as it comes
 
 
@@ -97,35 +97,35 @@
     they are not used again until that has been forgotten.
     """
 
-    def __init__(self, most: float) -> None:
-        self.most = self.ms = most
-        self.used = [0.0] * (len(IDLE_BUCKETS_MS) + 1)  # by the idle time before
-        self.reset = self.used[:]
+    def __init__(self, max_ms: float) -> None:
+        self.max_ms = self.limit_ms = max_ms
+        self.uses = [0.0] * (len(IDLE_BUCKETS_MS) + 1)  # by the idle time before
+        self.resets = self.uses[:]
         self.sweeps = 0
 
-    def note(self, idle: float, reset: bool) -> None:
+    def record_use(self, idle_ms: float, reset: bool) -> None:
         """How an attempt on a used connection ended."""
-        step = bisect(IDLE_BUCKETS_MS, idle)
-        self.used[step] += 1
+        bucket = bisect(IDLE_BUCKETS_MS, idle_ms)
+        self.uses[bucket] += 1
         if reset:
-            self.reset[step] += 1
-            self.learn()
+            self.resets[bucket] += 1
+            self.update_limit()
 
-    def learn(self) -> None:
-        for i, step in enumerate(IDLE_BUCKETS_MS, 1):
-            resets, uses = sum(self.reset[i:]), sum(self.used[i:])
-            others = sum(self.reset[:i]) / max(sum(self.used[:i]), 1.0)
+    def update_limit(self) -> None:
+        for i, bucket_ms in enumerate(IDLE_BUCKETS_MS, 1):
+            resets, uses = sum(self.resets[i:]), sum(self.uses[i:])
+            others = sum(self.resets[:i]) / max(sum(self.uses[:i]), 1.0)
             if resets >= MIN_IDLE_RESETS and resets / uses > others + IDLE_RESET_RATE_MARGIN:
-                self.ms = min(step, self.most)
+                self.limit_ms = min(bucket_ms, self.max_ms)
                 return
-        self.ms = self.most
+        self.limit_ms = self.max_ms
 
-    def swept(self) -> None:
+    def on_sweep(self) -> None:
         self.sweeps += 1
         if self.sweeps % IDLE_STATS_HALF_LIFE_SWEEPS == 0:
-            self.used = [count / 2 for count in self.used]
-            self.reset = [count / 2 for count in self.reset]
-            self.learn()
+            self.uses = [count / 2 for count in self.uses]
+            self.resets = [count / 2 for count in self.resets]
+            self.update_limit()
 
 
 class ServerConnection(asyncio.BufferedProtocol):
@@ -139,29 +139,29 @@
         self.version = server.version
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.idled: float | None = None  # ms before the attempt under way; None: it is the first
+        self.idle_before_ms: float | None = None  # ms before the attempt under way; None: it is the first
         self.parser = httptools.HttpResponseParser(self)
-        self.parts: list[bytes] = []  # of the answer's body, as far as they are held
-        self.size = 0
-        self.length: int | None = None  # of the answer's body, if a header tells it
-        self.coding = b""  # its transfer coding
-        self.counted = False  # among the bodies in hand
+        self.buffered_body: list[bytes] = []  # of the answer's body, as far as they are held
+        self.body_size = 0
+        self.content_length: int | None = None  # of the answer's body, if a header tells it
+        self.transfer_coding = b""  # its transfer coding
+        self.counted_in_budget = False  # among the bodies in hand
         self.not_started = False
         self.content_type = b""
-        self.headed = False  # the final answer's head has come
-        self.complete = False
-        self.answering = False  # a byte of the answer has come
-        self.heard = 0.0  # when the latest bytes came
-        self.held = False  # the client takes no more for now
-        self.keep = False
-        self.stray = False  # bytes came after the answer
-        self.hold: asyncio.TimerHandle | None = None
-        self.stall: asyncio.TimerHandle | None = None
+        self.head_received = False  # the final answer's head has come
+        self.response_complete = False
+        self.response_begun = False  # a byte of the answer has come
+        self.last_read_ms = 0.0  # when the latest bytes came
+        self.reading_paused = False  # the client takes no more for now
+        self.keep_alive = False
+        self.unexpected_bytes = False  # bytes came after the answer
+        self.unsized_body_timer: asyncio.TimerHandle | None = None
+        self.write_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
-        self.unread = unread_poll(transport.get_extra_info("socket").fileno())
+        self.socket_poll = unread_poll(transport.get_extra_info("socket").fileno())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
@@ -169,22 +169,22 @@
             self.server.idle.remove(self)
         if self.attempt is None:
             return
-        if exc is None and self.headed and self.length is None and not self.coding:
-            self.complete = True  # an answer that only the end of its connection ends
-            self.finish()
+        if exc is None and self.head_received and self.content_length is None and not self.transfer_coding:
+            self.response_complete = True  # an answer that only the end of its connection ends
+            self.finish_response()
             return
         # A request that was given whole to the transport may have run: what its buffer held is no proof that
         # the server did not get it.
-        self.note_idle(reset=not self.answering)
-        self.give_up(Result.RESET if self.attempt.written else Result.UNREACHABLE)
+        self.record_idle_use(reset=not self.response_begun)
+        self.abort_attempt(Result.RESET if self.attempt.request_written else Result.UNREACHABLE)
 
-    def give_up(self, result: Result) -> None:
+    def abort_attempt(self, result: Result) -> None:
         """No answer, or no more of it, is waited for here."""
-        attempt = self.leave()
+        attempt = self.detach_attempt()
         # Before the module hears of it: what it sends next must not be a second one out.
         abort_now(self.transport)
         if attempt is not None:
-            self.pool.end(attempt, result)
+            self.pool.finish_attempt(attempt, result)
 
     def close(self, cause: str) -> None:
         event("upstream_closed", endpoint=self.server.id, cause=cause)
@@ -193,16 +193,16 @@
         else:
             self.transport.close()
 
-    def leave(self) -> Attempt | None:
+    def detach_attempt(self) -> Attempt | None:
         """Nothing is under way here from now on."""
         attempt, self.attempt = self.attempt, None
-        for timer in (self.hold, self.stall):
+        for timer in (self.unsized_body_timer, self.write_timer):
             if timer is not None:
                 timer.cancel()
-        self.hold = self.stall = None
-        self.parts.clear()
-        if self.counted:
-            self.counted = False
+        self.unsized_body_timer = self.write_timer = None
+        self.buffered_body.clear()
+        if self.counted_in_budget:
+            self.counted_in_budget = False
             self.pool.body_budget.bodies -= 1
         if attempt is not None and attempt.message.upload is not None:
             attempt.message.upload.leave()
@@ -210,7 +210,7 @@
 
     # The request.
 
-    def start(self, attempt: Attempt) -> None:
+    def send_request(self, attempt: Attempt) -> None:
         self.attempt = attempt
         attempt.connection = self
         event(
@@ -218,33 +218,33 @@
             request=attempt.message.request_id,
             attempt=attempt.number,
             endpoint=self.server.id,
-            reused=self.idled is not None,
+            reused=self.idle_before_ms is not None,
         )
-        self.complete = self.answering = self.headed = self.held = False
-        self.size, self.length, self.coding = 0, None, b""
-        left = max(1, int(attempt.deadline - now_ms()))
+        self.response_complete = self.response_begun = self.head_received = self.reading_paused = False
+        self.body_size, self.content_length, self.transfer_coding = 0, None, b""
+        timeout_ms = max(1, int(attempt.deadline - now_ms()))
         message, upload = attempt.message, attempt.message.upload
         if upload is None:
-            length = b"Content-Length: %d\r\n" % len(message.body) if message.post else b""
+            length_header = b"Content-Length: %d\r\n" % len(message.body) if message.has_body else b""
         elif upload.length is None:
-            length = b"Transfer-Encoding: chunked\r\n"
+            length_header = b"Transfer-Encoding: chunked\r\n"
         else:
-            length = b"Content-Length: %d\r\n" % upload.length
-        head = b"%b%bRequest-Timeout: %dm\r\n\r\n" % (message.head, length, left)
+            length_header = b"Content-Length: %d\r\n" % upload.length
+        head = b"%b%bRequest-Timeout: %dm\r\n\r\n" % (message.head, length_header, timeout_ms)
         if upload is None:
             self.transport.write(head + message.body)
-            self.written()
+            self.on_request_written()
         else:
             self.transport.write(head)
             self.transport.set_write_buffer_limits(0)  # nothing is held here: what is not taken waits
             upload.join(self)
 
-    def written(self) -> None:
+    def on_request_written(self) -> None:
         assert self.attempt is not None
-        self.attempt.written = True
+        self.attempt.request_written = True
         if self.attempt.message.upload is not None:
             self.attempt.started = now_ms()  # only now can the server begin
-        self.pool.figures.forwards += 1
+        self.pool.metrics.forwards += 1
 
     def write_chunk(self, data: bytes) -> None:
         assert self.attempt is not None and self.attempt.message.upload is not None
@@ -256,26 +256,26 @@
         if self.attempt.message.upload.length is None:
             self.transport.write(b"0\r\n\r\n")
         self.transport.set_write_buffer_limits()
-        self.written()
+        self.on_request_written()
 
     def abort_body(self) -> None:
-        self.give_up(Result.CANCELLED)
+        self.abort_attempt(Result.CANCELLED)
 
     def pause_writing(self) -> None:
         if self.attempt is not None and self.attempt.message.upload is not None:
             self.attempt.message.upload.source.pause_upload(True)
-            self.stall = self.pool.loop.call_later(REQUEST_WRITE_TIMEOUT_S, self.stalled)
+            self.write_timer = self.pool.loop.call_later(REQUEST_WRITE_TIMEOUT_S, self.on_write_timeout)
 
     def resume_writing(self) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+        if self.write_timer is not None:
+            self.write_timer.cancel()
+            self.write_timer = None
         if self.attempt is not None and self.attempt.message.upload is not None:
             self.attempt.message.upload.source.pause_upload(False)
 
-    def stalled(self) -> None:
-        if self.attempt is not None and not self.attempt.written:
-            self.give_up(Result.UNREACHABLE)
+    def on_write_timeout(self) -> None:
+        if self.attempt is not None and not self.attempt.request_written:
+            self.abort_attempt(Result.UNREACHABLE)
 
     # The answer.
 
@@ -286,153 +286,155 @@
         if self.attempt is None:  # nothing was asked: what comes next on it could pass for an answer
             self.close("bytes_unasked")
             return
-        self.answering = True
-        self.heard = now_ms()
+        self.response_begun = True
+        self.last_read_ms = now_ms()
         try:
             self.parser.feed_data(self.pool.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserError as error:
             if self.attempt is None:  # given up while it was read
                 return
-            if not self.complete:
-                self.malformed(str(error.__context__ or error))
+            if not self.response_complete:
+                self.fail_malformed(str(error.__context__ or error))
                 return
-            self.stray = True
+            self.unexpected_bytes = True
         except httptools.HttpParserUpgrade:
-            self.malformed("an upgrade")
+            self.fail_malformed("an upgrade")
             return
-        if self.complete and self.attempt is not None:
-            self.finish()
+        if self.response_complete and self.attempt is not None:
+            self.finish_response()
 
-    def note_idle(self, reset: bool) -> None:
-        if self.idled is not None:
-            self.pool.keep_idle.note(self.idled, reset)
+    def record_idle_use(self, reset: bool) -> None:
+        if self.idle_before_ms is not None:
+            self.pool.idle_limit.record_use(self.idle_before_ms, reset)
 
-    def malformed(self, what: str) -> None:
-        log.warning("server %s:%d: malformed answer: %s", *self.server.address, what)
-        self.give_up(Result.ERROR)
+    def fail_malformed(self, reason: str) -> None:
+        log.warning("server %s:%d: malformed answer: %s", *self.server.address, reason)
+        self.abort_attempt(Result.ERROR)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """The answer is whole, or as much of it as is of use."""
         assert self.attempt is not None
-        whole, body = self.attempt.written, b"".join(self.parts)
-        attempt = self.leave()
+        request_sent, body = self.attempt.request_written, b"".join(self.buffered_body)
+        attempt = self.detach_attempt()
         assert attempt is not None
-        self.note_idle(reset=False)
+        self.record_idle_use(reset=False)
         status = self.parser.get_status_code()
-        if self.complete and self.keep and whole and not self.stray:
-            self.pool.park(self, now_ms())
+        if self.response_complete and self.keep_alive and request_sent and not self.unexpected_bytes:
+            self.pool.return_to_pool(self, now_ms())
         else:
-            self.close("answer_ends_connection" if whole else "answered_early")
+            self.close("answer_ends_connection" if request_sent else "answered_early")
         if status == 200:
             result = Result.OK
         elif status in (503, 504) and self.not_started:
             result = Result.FULL
         else:
             result = Result.ERROR
-        self.pool.end(attempt, result, ServerResponse(status, body, self.content_type))
+        self.pool.finish_attempt(attempt, result, ServerResponse(status, body, self.content_type))
 
-    def hold_answer(self, hold: bool) -> None:
+    def pause_reading_response(self, paused: bool) -> None:
         """The client takes no more for now, or takes more again."""
-        self.held, self.heard = hold, now_ms()
+        self.reading_paused, self.last_read_ms = paused, now_ms()
         if self.transport.is_closing():
             return
-        if hold:
+        if paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
-    def begin(self) -> None:
+    def begin_streaming(self) -> None:
         """From here on the answer is passed on as it comes."""
         attempt = self.attempt
         if attempt is None or attempt.streaming:
             return
         attempt.streaming = True
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        self.count()
-        self.pool.on_begin(attempt, self.length, self.content_type)
-        parts, self.parts = self.parts, []
-        for part in parts:
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        self.count_in_budget()
+        self.pool.on_response_started(attempt, self.content_length, self.content_type)
+        chunks, self.buffered_body = self.buffered_body, []
+        for chunk in chunks:
             if self.attempt is attempt:
-                self.pool.on_part(attempt, part)
+                self.pool.on_response_chunk(attempt, chunk)
 
-    def count(self) -> None:
-        if not self.counted:
-            self.counted = True
+    def count_in_budget(self) -> None:
+        if not self.counted_in_budget:
+            self.counted_in_budget = True
             self.pool.body_budget.bodies += 1
 
     # What the parser finds.
 
     def on_message_begin(self) -> None:
-        if self.complete:
-            self.stray = True
+        if self.response_complete:
+            self.unexpected_bytes = True
             return
-        self.parts.clear()
-        self.size, self.length, self.coding = 0, None, b""
+        self.buffered_body.clear()
+        self.body_size, self.content_length, self.transfer_coding = 0, None, b""
         self.not_started = False
         self.content_type = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete or self.headed:  # stray, or a trailer
+        if self.response_complete or self.head_received:  # stray, or a trailer
             return
-        lower, value = name.lower(), value.strip(b" \t")  # white space round a value is no part of it
-        if lower == b"not-started":
+        lower_name, value = name.lower(), value.strip(b" \t")  # white space round a value is no part of it
+        if lower_name == b"not-started":
             self.not_started = value == b"1"
-        elif lower == b"content-type":
+        elif lower_name == b"content-type":
             self.content_type = value
-        elif lower == b"content-length":
-            self.length = int(value)  # the parser has refused all but digits
-        elif lower == b"transfer-encoding":
-            self.coding = value.lower()
+        elif lower_name == b"content-length":
+            self.content_length = int(value)  # the parser has refused all but digits
+        elif lower_name == b"transfer-encoding":
+            self.transfer_coding = value.lower()
 
     def on_headers_complete(self) -> None:
-        if self.complete or self.parser.get_status_code() < 200:
+        if self.response_complete or self.parser.get_status_code() < 200:
             return
-        if self.coding not in (b"", b"chunked"):
-            raise ValueError(f"transfer coding {self.coding!r}")  # reaches buffer_updated as a parser error
-        self.headed = True
+        if self.transfer_coding not in (b"", b"chunked"):
+            raise ValueError(
+                f"transfer coding {self.transfer_coding!r}"
+            )  # reaches buffer_updated as a parser error
+        self.head_received = True
         if self.parser.get_status_code() != 200:
             return
-        if self.length is None:
-            self.hold = self.pool.loop.call_later(UNSIZED_BODY_DELAY_S, self.begin)
-        elif self.length > BUFFERED_BODY_BYTES:
-            self.begin()
+        if self.content_length is None:
+            self.unsized_body_timer = self.pool.loop.call_later(UNSIZED_BODY_DELAY_S, self.begin_streaming)
+        elif self.content_length > BUFFERED_BODY_BYTES:
+            self.begin_streaming()
 
     def on_body(self, body: bytes) -> None:
         attempt = self.attempt
-        if self.complete or attempt is None:
+        if self.response_complete or attempt is None:
             return
-        self.size += len(body)
+        self.body_size += len(body)
         if self.parser.get_status_code() != 200:  # its body is of no use; one that goes on is not waited for
-            if self.size > BUFFERED_BODY_BYTES:
-                self.keep = False
-                self.finish()
+            if self.body_size > BUFFERED_BODY_BYTES:
+                self.keep_alive = False
+                self.finish_response()
         elif attempt.streaming:
-            self.pool.on_part(attempt, body)
+            self.pool.on_response_chunk(attempt, body)
         else:
-            self.parts.append(body)
-            if self.size > MIN_BODY_SHARE_BYTES:
-                self.count()
-            if self.size > self.pool.body_budget.share:
-                self.begin()
+            self.buffered_body.append(body)
+            if self.body_size > MIN_BODY_SHARE_BYTES:
+                self.count_in_budget()
+            if self.body_size > self.pool.body_budget.share:
+                self.begin_streaming()
 
     def on_message_complete(self) -> None:
-        if self.complete or self.parser.get_status_code() < 200:  # an interim answer
+        if self.response_complete or self.parser.get_status_code() < 200:  # an interim answer
             return
-        self.complete = True
-        self.keep = self.parser.should_keep_alive()
+        self.response_complete = True
+        self.keep_alive = self.parser.should_keep_alive()
 
 
 class AttemptHandler(Protocol):
     """What the answers go to."""
 
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: ServerResponse | None) -> None:
+    def attempt_ended(self, attempt: Attempt, result: Result, response: ServerResponse | None) -> None:
         """An attempt has ended, with the answer if one came whole."""
 
-    def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
+    def response_started(self, attempt: Attempt, content_length: int | None, content_type: bytes) -> None:
         """An answer is passed on as it comes."""
 
-    def response_chunk(self, attempt: Attempt, part: bytes) -> None:
+    def response_chunk(self, attempt: Attempt, chunk: bytes) -> None:
         """A part of its body."""
 
 
@@ -445,26 +447,26 @@
         dial_timeout: float,
         idle_timeout: float,
         max_connections: int,
-        taker: AttemptHandler,
-        figures: Metrics,
+        handler: AttemptHandler,
+        metrics: Metrics,
         body_budget: BodyBudget,
     ) -> None:
         self.loop = loop
         self.dial_timeout = dial_timeout
-        self.keep_idle = IdleLimit(max(idle_timeout - IDLE_TIMEOUT_MARGIN_MS, idle_timeout / 2))
+        self.idle_limit = IdleLimit(max(idle_timeout - IDLE_TIMEOUT_MARGIN_MS, idle_timeout / 2))
         self.max_connections = max_connections
-        self.on_end, self.on_begin, self.on_part = (
-            taker.attempt_ended,
-            taker.response_started,
-            taker.response_chunk,
+        self.on_attempt_ended, self.on_response_started, self.on_response_chunk = (
+            handler.attempt_ended,
+            handler.response_started,
+            handler.response_chunk,
         )
-        self.figures = figures
+        self.metrics = metrics
         self.body_budget = body_budget
         self.servers: dict[int, EndpointConnections] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.connections: set[ServerConnection] = set()
-        self.dials = 0
-        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep)
+        self.pending_connects = 0
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep_connections)
 
     def update(self, server_id: int, address: Address, state: State, started: float) -> None:
         """Take over a line of the server list."""
@@ -474,11 +476,11 @@
         elif (server.address, server.state, server.started) != (address, state, started):
             # Connections from before a restart are dead, and a server that drains gets nothing new.
             server.address, server.state, server.started = address, state, started
-            self.part_with(server)
+            self.discard_connections(server)
         if state is State.GONE:  # attempts under way know it; where servers come and go, nobody else must
             self.servers.pop(server_id, None)
 
-    def part_with(self, server: EndpointConnections) -> None:
+    def discard_connections(self, server: EndpointConnections) -> None:
         """Use no connection to it that is open or on its way: what was decided before goes elsewhere."""
         server.version += 1
         for connection in server.idle:
@@ -486,98 +488,110 @@
         server.idle.clear()
         for attempt in list(self.attempts.values()):
             if attempt.server is server and attempt.connection is None:
-                self.drop(attempt, Result.UNREACHABLE)
+                self.abort_attempt(attempt, Result.UNREACHABLE)
 
     def cordon(self, server_id: int) -> None:
         """Nothing that was decided before reaches the server from now on."""
         server = self.servers.get(server_id)
         if server is not None:
-            self.part_with(server)
+            self.discard_connections(server)
 
     def send(
         self,
         request_id: int,
         number: int,
         server_id: int,
-        limit: float,
-        within: float,
+        timeout_ms: float,
+        send_within_ms: float,
         message: ForwardedRequest,
     ) -> None:
         """Begin an attempt: it goes out within so many ms or not at all, and ends after `limit` ms."""
         server = self.servers[server_id]
         now = now_ms()
-        attempt = Attempt(request_id, number, server, server.version, message, now, now + limit, now + within)
+        attempt = Attempt(
+            request_id, number, server, server.version, message, now, now + timeout_ms, now + send_within_ms
+        )
         self.attempts[request_id, number] = attempt
-        attempt.timer = self.loop.call_later(max(0.0, limit) / 1000, self.expire, attempt)
-        idle, rested = server.idle, len(server.idle)
-        while rested and now - idle[rested - 1].idle_since < CONNECTION_REUSE_DELAY_MS:
-            rested -= 1
-        while rested:
-            rested -= 1
-            if self.start_on(idle.pop(rested), attempt, now):
+        attempt.timeout_timer = self.loop.call_later(max(0.0, timeout_ms) / 1000, self.on_timeout, attempt)
+        idle, reusable = server.idle, len(server.idle)
+        while reusable and now - idle[reusable - 1].idle_since < CONNECTION_REUSE_DELAY_MS:
+            reusable -= 1
+        while reusable:
+            reusable -= 1
+            if self.send_on_idle(idle.pop(reusable), attempt, now):
                 return
         if not idle:
-            attempt.dial = self.loop.create_task(self.connect(attempt))
+            attempt.connection_wait = self.loop.create_task(self.connect(attempt))
             return
         # What is left of its rest is far less than it takes to open another.
-        attempt.resting = idle.pop(0)
-        left = attempt.resting.idle_since + CONNECTION_REUSE_DELAY_MS - now
-        attempt.dial = self.loop.call_later(left / 1000, self.rested, attempt)
+        attempt.reserved_connection = idle.pop(0)
+        wait_ms = attempt.reserved_connection.idle_since + CONNECTION_REUSE_DELAY_MS - now
+        attempt.connection_wait = self.loop.call_later(wait_ms / 1000, self.on_reuse_delay_over, attempt)
 
-    def start_on(self, connection: ServerConnection, attempt: Attempt, now: float) -> bool:
+    def send_on_idle(self, connection: ServerConnection, attempt: Attempt, now: float) -> bool:
         """Use a connection that has been idle, if it still can be."""
-        idled = now - connection.idle_since
-        fresh = connection.version == attempt.version == attempt.server.version and idled < self.keep_idle.ms
+        idle_before_ms = now - connection.idle_since
+        fresh = (
+            connection.version == attempt.version == attempt.server.version
+            and idle_before_ms < self.idle_limit.limit_ms
+        )
         closing = connection.transport.is_closing()
-        if not fresh or closing or now >= attempt.latest or connection.unread.poll(0):
+        if not fresh or closing or now >= attempt.send_before or connection.socket_poll.poll(0):
             connection.close("stale")
             return False
-        connection.idled = idled
-        connection.start(attempt)
+        connection.idle_before_ms = idle_before_ms
+        connection.send_request(attempt)
         return True
 
-    def rested(self, attempt: Attempt) -> None:
+    def on_reuse_delay_over(self, attempt: Attempt) -> None:
         """The connection that an attempt has waited for may be used."""
-        connection, attempt.resting, attempt.dial = attempt.resting, None, None
+        connection, attempt.reserved_connection, attempt.connection_wait = (
+            attempt.reserved_connection,
+            None,
+            None,
+        )
         assert connection is not None
-        if not self.start_on(connection, attempt, now_ms()):
-            attempt.dial = self.loop.create_task(self.connect(attempt))
+        if not self.send_on_idle(connection, attempt, now_ms()):
+            attempt.connection_wait = self.loop.create_task(self.connect(attempt))
 
     async def connect(self, attempt: Attempt) -> None:
         """Open a connection for an attempt; no byte has been sent where this fails."""
         server = attempt.server
-        if len(self.connections) + self.dials >= self.max_connections and not self.close_an_idle_one():
+        if (
+            len(self.connections) + self.pending_connects >= self.max_connections
+            and not self.close_idle_connection()
+        ):
             log.warning("no descriptors left for a connection to %s:%d", *server.address)
-            self.end(attempt, Result.UNREACHABLE)
+            self.finish_attempt(attempt, Result.UNREACHABLE)
             return
-        self.dials += 1
+        self.pending_connects += 1
         connection = ServerConnection(self, server)
         try:
-            async with asyncio.timeout(min(self.dial_timeout, attempt.latest - now_ms()) / 1000):
+            async with asyncio.timeout(min(self.dial_timeout, attempt.send_before - now_ms()) / 1000):
                 await self.loop.create_connection(lambda: connection, *server.address)
         except (OSError, UnicodeError):  # no connection in time, or an address that is none
-            self.end(attempt, Result.UNREACHABLE)
+            self.finish_attempt(attempt, Result.UNREACHABLE)
             return
         finally:
-            self.dials -= 1
-        attempt.dial = None
+            self.pending_connects -= 1
+        attempt.connection_wait = None
         # Meanwhile the server may have begun to drain or come back elsewhere: then it gets nothing.
         changed = attempt.version != server.version
-        if changed or connection.transport.is_closing() or now_ms() >= attempt.latest:
+        if changed or connection.transport.is_closing() or now_ms() >= attempt.send_before:
             connection.close("endpoint_changed_while_connecting" if changed else "came_up_late")
-            self.end(attempt, Result.UNREACHABLE)
+            self.finish_attempt(attempt, Result.UNREACHABLE)
         else:
             # Counted from here, not from connection_made: a dial that is cancelled just as it comes up is
             # closed by uvloop without connection_lost, and would count against the limit for ever.
             self.connections.add(connection)
-            connection.start(attempt)
+            connection.send_request(attempt)
 
     def set_limit(self, limit: int) -> None:
         self.max_connections = limit
-        while len(self.connections) + self.dials > limit and self.close_an_idle_one():
+        while len(self.connections) + self.pending_connects > limit and self.close_idle_connection():
             pass
 
-    def close_an_idle_one(self) -> bool:
+    def close_idle_connection(self) -> bool:
         for server in self.servers.values():
             if server.idle:
                 connection = server.idle.pop(0)
@@ -586,72 +600,78 @@
                 return True
         return False
 
-    def park(self, connection: ServerConnection, since: float) -> None:
+    def return_to_pool(self, connection: ServerConnection, idle_since: float) -> None:
         """Keep a connection for the next attempt, if its server still is the one it was opened to."""
         server = connection.server
         if connection.version != server.version or server.state is not State.READY:
             connection.close("endpoint_changed")
             return
-        connection.idle_since = since
+        connection.idle_since = idle_since
         idle = server.idle
-        if not idle or idle[-1].idle_since <= since:
+        if not idle or idle[-1].idle_since <= idle_since:
             idle.append(connection)
         else:  # it was only held for an attempt that did not use it
             insort(idle, connection, key=lambda other: other.idle_since)
 
-    def sweep(self) -> None:
-        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep)
-        self.keep_idle.swept()
-        before = now_ms() - self.keep_idle.ms
+    def sweep_connections(self) -> None:
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep_connections)
+        self.idle_limit.on_sweep()
+        idle_before = now_ms() - self.idle_limit.limit_ms
         for server in self.servers.values():
-            while server.idle and server.idle[0].idle_since < before:
+            while server.idle and server.idle[0].idle_since < idle_before:
                 server.idle.pop(0).close("idle")
-        silent = now_ms() - 1000 * RESPONSE_READ_TIMEOUT_S
+        read_before = now_ms() - 1000 * RESPONSE_READ_TIMEOUT_S
         for connection in [attempt.connection for attempt in self.attempts.values() if attempt.streaming]:
-            if connection is not None and not connection.held and connection.heard < silent:
-                connection.give_up(Result.RESET)
-
-    def expire(self, attempt: Attempt) -> None:
+            if (
+                connection is not None
+                and not connection.reading_paused
+                and connection.last_read_ms < read_before
+            ):
+                connection.abort_attempt(Result.RESET)
+
+    def on_timeout(self, attempt: Attempt) -> None:
         # Where no connection came up in the whole time, or took not all, nothing has run.
-        self.drop(attempt, Result.TIMEOUT if attempt.written else Result.UNREACHABLE)
+        self.abort_attempt(attempt, Result.TIMEOUT if attempt.request_written else Result.UNREACHABLE)
 
-    def limit(self, request_id: int, number: int, limit: float) -> None:
+    def set_timeout(self, request_id: int, number: int, timeout_ms: float) -> None:
         """Set the time-out of an attempt anew."""
         attempt = self.attempts.get((request_id, number))
         if attempt is None or attempt.streaming:
             return
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        attempt.deadline = now_ms() + limit
-        attempt.timer = self.loop.call_later(max(0.0, limit) / 1000, self.expire, attempt)
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        attempt.deadline = now_ms() + timeout_ms
+        attempt.timeout_timer = self.loop.call_later(max(0.0, timeout_ms) / 1000, self.on_timeout, attempt)
 
     def cancel(self, request_id: int, number: int) -> None:
         attempt = self.attempts.get((request_id, number))
         if attempt is not None:
-            self.drop(attempt, Result.CANCELLED)
+            self.abort_attempt(attempt, Result.CANCELLED)
 
-    def unsend(self, request_id: int, number: int) -> None:
+    def cancel_unsent(self, request_id: int, number: int) -> None:
         """The request is over: an attempt whose connection is not up yet does not go out."""
         attempt = self.attempts.get((request_id, number))
         if attempt is not None and attempt.connection is None:
-            self.drop(attempt, Result.NOT_SENT)
+            self.abort_attempt(attempt, Result.NOT_SENT)
 
-    def drop(self, attempt: Attempt, result: Result) -> None:
+    def abort_attempt(self, attempt: Attempt, result: Result) -> None:
         """Stop waiting: the connection is of no more use, an answer may still come on it."""
-        if attempt.dial is not None:
-            attempt.dial.cancel()
-        if attempt.resting is not None:
-            self.park(attempt.resting, attempt.resting.idle_since)
-            attempt.resting = None
+        if attempt.connection_wait is not None:
+            attempt.connection_wait.cancel()
+        if attempt.reserved_connection is not None:
+            self.return_to_pool(attempt.reserved_connection, attempt.reserved_connection.idle_since)
+            attempt.reserved_connection = None
         if attempt.connection is not None:
-            attempt.connection.give_up(result)
+            attempt.connection.abort_attempt(result)
         else:
-            self.end(attempt, result)
+            self.finish_attempt(attempt, result)
 
-    def end(self, attempt: Attempt, result: Result, answer: ServerResponse | None = None) -> None:
+    def finish_attempt(
+        self, attempt: Attempt, result: Result, response: ServerResponse | None = None
+    ) -> None:
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        attempt.dial = attempt.connection = None
-        self.on_end(attempt, result, answer)
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        attempt.connection_wait = attempt.connection = None
+        self.on_attempt_ended(attempt, result, response)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -340,11 +340,11 @@
         async with running(peer, settings=late) as stand:
             client = Raw(stand)
             client.send(request())
-            await until(lambda: stand.node.pool.dials == 1)
+            await until(lambda: stand.node.pool.pending_connects == 1)
             leave(client)
             await stand.event(Withdrawn)
             door.open()
-            await until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
+            await until(lambda: stand.node.pool.pending_connects == 0 and not stand.node.pool.attempts)
             with suppress(TimeoutError):  # a dial that was not given up comes up within the second
                 assert await asyncio.wait_for(door.came.get(), 1.5) == b""
             door.close()
@@ -393,7 +393,7 @@
             ]
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("book")))
-            await until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
+            await until(lambda: len(sends) == 2 and stand.node.pool.pending_connects == 1)
             door.open()
             status, _, _ = await asking
             assert status != 200
@@ -425,14 +425,14 @@
             held, _ = await asyncio.wait_for(loop.sock_accept(listener), WAIT)
             assert (await asyncio.wait_for(loop.sock_recv(held, 65536), WAIT)).startswith(b"GET ")
             to["name"] = b"s-2"
-            write = ServerConnection.start
+            write = ServerConnection.send_request
 
             def look(self: ServerConnection, attempt: Attempt) -> None:
                 seen.append(held.recv(1))  # BlockingIOError: it is out still
                 write(self, attempt)
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(ServerConnection, "start", look)
+                patch.setattr(ServerConnection, "send_request", look)
                 stand.node.pool.cancel(stand.node.last_id, 0)
             assert (await asking)[0] == 200
             assert seen == [b""]
@@ -500,10 +500,10 @@
             ]
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("pay")))
-            await until(lambda: stand.node.pool.dials == 1)
+            await until(lambda: stand.node.pool.pending_connects == 1)
             stand.agent.push(2, [peer.entry("s-1", state)])
             assert (await asking)[0] == 200  # at the other, though the first's connection is not up yet
-            assert stand.node.pool.dials == 0
+            assert stand.node.pool.pending_connects == 0
             door.open()
             with suppress(TimeoutError):
                 assert await asyncio.wait_for(door.came.get(), 1.5) == b""
@@ -521,7 +521,7 @@
             stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("pay")))
-            await until(lambda: stand.node.pool.dials == 1)
+            await until(lambda: stand.node.pool.pending_connects == 1)
             stand.agent.push(2, [peer.entry("s-1", "leaving"), added.entry("s-2")])
             assert (await asking)[0] == 200
             assert not stand.node.pool.attempts
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -186,7 +186,7 @@
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(WAIT):
-                while node.pool.dials:
+                while node.pool.pending_connects:
                     await asyncio.sleep(0.01)
             assert peer.requests.empty() and not node.pool.connections and not node.pool.attempts
 
@@ -284,7 +284,7 @@
             assert (await stand.outcome()).result == Result.CANCELLED
             stand.node.perform[Send] = send
             assert (await client.ask(request()))[0] == 200
-            assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
+            assert pool.pending_connects == 0 and len(pool.connections) == 1 and not pool.attempts
 
     run(test())
 
@@ -710,14 +710,14 @@
 def test_resets_at_any_age_leave_the_idle_limit_and_old_ones_are_forgotten() -> None:
     limit = IdleLimit(28000.0)
     for step in range(400):
-        limit.note(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
-    assert limit.ms == 28000.0
+        limit.record_use(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
+    assert limit.limit_ms == 28000.0
     for _ in range(100):
-        limit.note(120.0, reset=True)
-    assert limit.ms <= 100.0
+        limit.record_use(120.0, reset=True)
+    assert limit.limit_ms <= 100.0
     for _ in range(60):
-        limit.swept()
-    assert limit.ms == 28000.0
+        limit.on_sweep()
+    assert limit.limit_ms == 28000.0
 
 
 def test_near_the_descriptor_limit_the_longest_idle_client_makes_room() -> None:
