--- a/flaxstep/proxy/__main__.py
+++ b/flaxstep/proxy/__main__.py
@@ -33,7 +33,7 @@
 
     def on_signal(self) -> None:
         log.info("SIGHUP: the configuration is read again")
-        self.node.expect_move()
+        self.node.mark_discovery_moved()
         if self.again is not None:
             self.again.cancel()
         self.read(told="")
--- a/flaxstep/proxy/metrics.py
+++ b/flaxstep/proxy/metrics.py
@@ -24,7 +24,7 @@
         self.aborted = self.succeeded[:]
         self.forwards = 0  # attempts written whole to servers
 
-    def ended(self, cls: int, status: int) -> None:
+    def record_outcome(self, cls: int, status: int) -> None:
         """A request got its whole final answer."""
         if status == 200:
             self.succeeded[cls] += 1
@@ -33,7 +33,7 @@
         else:
             self.aborted[cls] += 1
 
-    def lines(self, gauges: Mapping[str, int]) -> str:
+    def to_statsd(self, gauges: Mapping[str, int]) -> str:
         counts = [
             f"results.{name}.{outcome}:{count[cls]}|c"
             for cls, name in enumerate(self.classes)
@@ -53,31 +53,33 @@
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes = list(classes)
-        self.servers: dict[int, ServerAnswerCounts] = {}
+        self.servers: dict[int, ServerResponseCounts] = {}
 
-    def listed(self, server: int, name: str, started: float) -> None:
+    def add_server(self, server: int, name: str, started_at: float) -> None:
         """A server is in the list. One that has started anew begins anew here."""
         known = self.servers.get(server)
-        if known is None or known.started != started:
-            self.servers[server] = ServerAnswerCounts(name, started, len(self.classes))
+        if known is None or known.started_at != started_at:
+            self.servers[server] = ServerResponseCounts(name, started_at, len(self.classes))
 
-    def forget(self, server: int) -> None:
+    def remove_server(self, server: int) -> None:
         """It is not listed any more."""
         self.servers.pop(server, None)
 
-    def ended(self, server: int, cls: int, result: Result, took: float) -> None:
+    def record_attempt(self, server: int, cls: int, result: Result, elapsed_ms: float) -> None:
         """An attempt at a server has its outcome, after `took` ms."""
-        answers = self.servers.get(server)
-        if answers is None:
+        counts = self.servers.get(server)
+        if counts is None:
             return
         if result is Result.OK:
-            answers.took[cls][min(int(BUCKETS_PER_DOUBLING * math.log2(took + 1.0)), BUCKET_COUNT - 1)] += 1
+            counts.latency_counts[cls][
+                min(int(BUCKETS_PER_DOUBLING * math.log2(elapsed_ms + 1.0)), BUCKET_COUNT - 1)
+            ] += 1
         elif result in NEVER_RAN:
-            answers.unstarted[cls] += 1
+            counts.not_started[cls] += 1
         else:
-            answers.failed[cls] += 1
+            counts.failed[cls] += 1
 
-    def report(self, out: Mapping[int, int], cordoned: Set[str]) -> str:
+    def report(self, outstanding: Mapping[int, int], cordoned: Set[str]) -> str:
         """One JSON object, by server: attempts out, whether it is out by hand, Unix ms of its start as the
         list has it, answers by class.
 
@@ -85,30 +87,35 @@
         """
         return json.dumps(
             {
-                answers.name: {
-                    "out": out.get(server, 0),
-                    "cordoned": answers.name in cordoned,
-                    "started": round(answers.started),
-                    "classes": {name: answers.of(cls) for cls, name in enumerate(self.classes)},
+                counts.name: {
+                    "out": outstanding.get(server, 0),
+                    "cordoned": counts.name in cordoned,
+                    "started": round(counts.started_at),
+                    "classes": {name: counts.to_dict(cls) for cls, name in enumerate(self.classes)},
                 }
-                for server, answers in self.servers.items()
+                for server, counts in self.servers.items()
             },
             separators=(",", ":"),
         )
 
 
-class ServerAnswerCounts:
+class ServerResponseCounts:
     """One job server's."""
 
-    __slots__ = ("failed", "name", "started", "took", "unstarted")
+    __slots__ = ("failed", "latency_counts", "name", "not_started", "started_at")
 
-    def __init__(self, name: str, started: float, classes: int) -> None:
-        self.name, self.started = name, started
+    def __init__(self, name: str, started_at: float, classes: int) -> None:
+        self.name, self.started_at = name, started_at
         self.failed = [0] * classes  # errors, resets and time-outs: they may have run
-        self.unstarted = [0] * classes  # turned away, or no connection
-        self.took = [[0] * BUCKET_COUNT for _ in range(classes)]
-
-    def of(self, cls: int) -> dict[str, object]:
-        took = [(bucket, count) for bucket, count in enumerate(self.took[cls]) if count]
-        ok = sum(count for _, count in took)
-        return {"ok": ok, "failed": self.failed[cls], "unstarted": self.unstarted[cls], "took": took}
+        self.not_started = [0] * classes  # turned away, or no connection
+        self.latency_counts = [[0] * BUCKET_COUNT for _ in range(classes)]
+
+    def to_dict(self, cls: int) -> dict[str, object]:
+        latency_counts = [(bucket, count) for bucket, count in enumerate(self.latency_counts[cls]) if count]
+        ok = sum(count for _, count in latency_counts)
+        return {
+            "ok": ok,
+            "failed": self.failed[cls],
+            "unstarted": self.not_started[cls],
+            "took": latency_counts,
+        }
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -95,11 +95,11 @@
     client: ClientConnection
     message: ForwardedRequest
     cls: int
-    due: float  # while its body comes: the latest that it can become
-    timeout: float  # ms that the client gives from the last byte of its request
+    deadline: float  # while its body comes: the latest that it can become
+    timeout_ms: float  # ms that the client gives from the last byte of its request
     uploading: bool = False  # its body still comes: it is not taken yet
-    sends: int = 0
-    attempt: Attempt | None = None  # whose answer is passed on as it comes
+    attempt_count: int = 0
+    streaming_attempt: Attempt | None = None  # whose answer is passed on as it comes
 
 
 def connection_limits(sockets: int) -> tuple[int, int]:
@@ -115,130 +115,132 @@
         self.loop = loop
         self.policy = Policy(config.settings, config.seed)
         self.clock = WallClock()
-        self.held: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.last_id = 0
         self.events: deque[Event] = deque()
-        self.handling = False
+        self.dispatching = False
         self.healthy = False  # a list has come
         self.quiesced = self.stopping = False  # the two ways to drain: by hand, and for good
-        self.server: asyncio.Server | None = None
-        self.door: asyncio.Server | None = None
-        self.watch: asyncio.Task[None] | None = None
-        self.listed: set[int] = set()  # servers in the list
-        self.told = asyncio.Event()  # discovery has given a list
-        self.born = loop.time()
+        self.client_listener: asyncio.Server | None = None
+        self.admin_listener: asyncio.Server | None = None
+        self.discovery_task: asyncio.Task[None] | None = None
+        self.listed_servers: set[int] = set()  # servers in the list
+        self.list_confirmed = asyncio.Event()  # discovery has given a list
+        self.started_at = loop.time()
         clients, servers = connection_limits(config.sockets)
-        self.figures = Metrics(name.decode("latin-1") for name in config.classes)
-        self.by_server = ServerMetrics(self.figures.classes)
+        self.metrics = Metrics(name.decode("latin-1") for name in config.classes)
+        self.server_metrics = ServerMetrics(self.metrics.classes)
         self.body_budget = BodyBudget((config.memory_mb << 20) // BODY_MEMORY_DIVISOR)
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, self, self.figures, self.body_budget
+            loop, config.dial_timeout, config.idle_timeout, servers, self, self.metrics, self.body_budget
         )
         self.listener = Listener(loop, config, self, clients, self.body_budget)
-        self.lists = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
+        self.list_reader = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
         self.discovery = Discovery(
             config.discovery,
-            self.take_list,
-            self.take_reach,
+            self.on_list,
+            self.on_reach,
             random.Random(config.seed),
             loop,
             pushed=not config.settings.ask_for_list,
         )
-        self.perform: dict[type[Action], Callable[[Any], None]] = {
-            Send: self.send,
-            Limit: self.limit,
-            Refuse: self.refuse,
-            Fail: self.fail,
-            Cancel: self.cancel,
-            Wake: self.wake,
-            Log: self.log,
-            Subscribe: self.subscribe,
+        self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
+            Send: self.send_attempt,
+            Limit: self.limit_attempt,
+            Refuse: self.refuse_request,
+            Fail: self.fail_request,
+            Cancel: self.cancel_attempt,
+            Wake: self.schedule_timer,
+            Log: self.log_text,
+            Subscribe: self.ignore_subscribe,
         }
-        self.handover = SharedState(config.shared, config.name, self.take_shared)
+        self.shared_state = SharedState(config.shared, config.name, self.on_operator_state_change)
         if config.admin is not None:
-            self.handover.start()  # before the list: who is out must not be sent anything
-        self.tell(DiscoveryReach(Reach.STARTED))
+            self.shared_state.start()  # before the list: who is out must not be sent anything
+        self.dispatch_event(DiscoveryReach(Reach.STARTED))
         if config.known.get("instances"):
             try:
-                self.discovery.version = self.take_members(config.known, ListKind.CACHED)
+                self.discovery.version = self.apply_list(config.known, ListKind.CACHED)
             except ValueError as error:
                 log.warning("the known list is malformed: %s", error)
 
     # Events in, actions out.
 
-    def tell(self, event: Event) -> None:
+    def dispatch_event(self, event: Event) -> None:
         """Give the policy an event, after those that wait already."""
         self.events.append(event)
-        if self.handling:
+        if self.dispatching:
             return
-        self.handling = True
+        self.dispatching = True
         try:
             while self.events:
                 event = self.events.popleft()
                 try:
                     for action in self.policy.handle(now_ms(), event):
-                        self.perform[type(action)](action)
+                        self.action_handlers[type(action)](action)
                 except Exception:
                     # One request must not take the node down with it; it still is owed an answer.
                     log.exception("the policy failed on %s", type(event).__name__)
                     if isinstance(event, Request | Outcome):
-                        self.answer(event.id, 500)
+                        self.send_final_response(event.id, 500)
                     elif isinstance(event, Timer):
-                        self.answer(event.token, 500)
+                        self.send_final_response(event.token, 500)
         finally:
-            self.handling = False
+            self.dispatching = False
 
-    def send(self, action: Send) -> None:
-        held = self.held[action.id]
-        number, held.sends = held.sends, held.sends + 1
-        limit = held.due - now_ms()
+    def send_attempt(self, action: Send) -> None:
+        pending = self.pending_requests[action.id]
+        number, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
+        limit = pending.deadline - now_ms()
         if action.limit:
             limit = min(limit, action.limit)
-        self.pool.send(action.id, number, action.server, limit, action.within, held.message)
+        self.pool.send(action.id, number, action.server, limit, action.within, pending.message)
 
-    def limit(self, action: Limit) -> None:
+    def limit_attempt(self, action: Limit) -> None:
         self.pool.set_timeout(action.id, action.attempt, action.limit)
 
-    def refuse(self, action: Refuse) -> None:
-        self.log_final("refused", action)
-        self.answer(action.id, 503, b"Retry-After: %.3f\r\n" % (action.wait / 1000) if action.wait else b"")
+    def refuse_request(self, action: Refuse) -> None:
+        self.log_unserved("refused", action)
+        self.send_final_response(
+            action.id, 503, b"Retry-After: %.3f\r\n" % (action.wait / 1000) if action.wait else b""
+        )
 
-    def fail(self, action: Fail) -> None:
-        self.log_final("failed", action)
-        self.answer(action.id, 502)
+    def fail_request(self, action: Fail) -> None:
+        self.log_unserved("failed", action)
+        self.send_final_response(action.id, 502)
 
-    def log_final(self, name: str, action: Refuse | Fail) -> None:
-        held = self.held.get(action.id)
-        if held is not None:
-            client_id = held.message.request_id
-            log_event(name, request=client_id, cause=action.cause.value, attempts=held.sends)
+    def log_unserved(self, name: str, action: Refuse | Fail) -> None:
+        pending = self.pending_requests.get(action.id)
+        if pending is not None:
+            client_id = pending.message.request_id
+            log_event(name, request=client_id, cause=action.cause.value, attempts=pending.attempt_count)
 
-    def answer(self, request_id: int, status: int, extra: bytes = b"") -> None:
-        held = self.release(request_id)
-        if held is not None:
-            log_event("answered", request=held.message.request_id, status=status)
-            self.figures.ended(held.cls, status)
-            held.client.answer(status, extra=extra)
+    def send_final_response(self, request_id: int, status: int, extra: bytes = b"") -> None:
+        pending = self.remove_request(request_id)
+        if pending is not None:
+            log_event("answered", request=pending.message.request_id, status=status)
+            self.metrics.record_outcome(pending.cls, status)
+            pending.client.answer(status, extra=extra)
 
-    def release(self, request_id: int) -> PendingRequest | None:
+    def remove_request(self, request_id: int) -> PendingRequest | None:
         """Nothing is owed any more, and no connection that still comes up carries the request."""
-        held = self.held.pop(request_id, None)
-        if held is not None:
-            for number in range(held.sends):
+        pending = self.pending_requests.pop(request_id, None)
+        if pending is not None:
+            for number in range(pending.attempt_count):
                 self.pool.cancel_unsent(request_id, number)
-        return held
+        return pending
 
-    def cancel(self, action: Cancel) -> None:
+    def cancel_attempt(self, action: Cancel) -> None:
         self.pool.cancel(action.id, action.attempt)
 
-    def wake(self, action: Wake) -> None:
+    def schedule_timer(self, action: Wake) -> None:
         # Rounded up: a timer that rings early finds nothing due and would be set again at once.
-        self.loop.call_later(math.ceil(action.delay) / 1000, self.tell, Timer(action.token))
+        self.loop.call_later(math.ceil(action.delay) / 1000, self.dispatch_event, Timer(action.token))
 
-    def log(self, action: Log) -> None:
+    def log_text(self, action: Log) -> None:
         log.info("%s", action.text)
 
-    def subscribe(self, action: Subscribe) -> None:
+    def ignore_subscribe(self, action: Subscribe) -> None:
         """Nothing to do: the node watches the list from its start."""
 
     # From clients.
@@ -248,15 +250,15 @@
         request_id = client.request_id = self.last_id
         upload = request.message.upload
         uploading = upload is not None and not upload.whole
-        due = (
+        deadline = (
             max(request.sent, now_ms() if upload is not None else 0.0)
             + request.timeout
             - CLIENT_TIMEOUT_MARGIN_MS
         )
         if uploading:
-            due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
-        self.held[request_id] = PendingRequest(
-            client, request.message, request.cls, due, request.timeout, uploading
+            deadline += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
+        self.pending_requests[request_id] = PendingRequest(
+            client, request.message, request.cls, deadline, request.timeout, uploading
         )
         cls, key, tenant = request.cls, request.key, request.tenant
         log_event(
@@ -264,50 +266,56 @@
             request=request.message.request_id,
             connection=client.descriptor,
             cls=cls,
-            ms_left=due - now_ms(),
+            ms_left=deadline - now_ms(),
+        )
+        self.dispatch_event(
+            Request(request_id, cls, deadline, key, tenant, request.hint, request.repeat, uploading)
         )
-        self.tell(Request(request_id, cls, due, key, tenant, request.hint, request.repeat, uploading))
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
-        held = self.held.get(request_id)
-        if held is None:
+        pending = self.pending_requests.get(request_id)
+        if pending is None:
             return
-        held.uploading = False
-        if held.attempt is None:  # else its answer has begun already
-            held.due = now_ms() + held.timeout - CLIENT_TIMEOUT_MARGIN_MS
-            self.tell(Uploaded(request_id, held.due))
+        pending.uploading = False
+        if pending.streaming_attempt is None:  # else its answer has begun already
+            pending.deadline = now_ms() + pending.timeout_ms - CLIENT_TIMEOUT_MARGIN_MS
+            self.dispatch_event(Uploaded(request_id, pending.deadline))
 
     def client_gone(self, request_id: int) -> None:
-        held = self.release(request_id)
-        if held is None:
+        pending = self.remove_request(request_id)
+        if pending is None:
             return
-        self.tell(Withdrawn(request_id))
-        if held.attempt is not None:  # its answer is the client's: with the client it ends
-            self.pool.abort_attempt(held.attempt, Result.CANCELLED)
-
-    def pause_response(self, request_id: int, hold: bool) -> None:
-        held = self.held.get(request_id)
-        if held is not None and held.attempt is not None and held.attempt.connection is not None:
-            held.attempt.connection.pause_reading_response(hold)
+        self.dispatch_event(Withdrawn(request_id))
+        if pending.streaming_attempt is not None:  # its answer is the client's: with the client it ends
+            self.pool.abort_attempt(pending.streaming_attempt, Result.CANCELLED)
+
+    def pause_response(self, request_id: int, paused: bool) -> None:
+        pending = self.pending_requests.get(request_id)
+        if (
+            pending is not None
+            and pending.streaming_attempt is not None
+            and pending.streaming_attempt.connection is not None
+        ):
+            pending.streaming_attempt.connection.pause_reading_response(paused)
 
     # From servers.
 
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: ServerResponse | None) -> None:
-        request_id, held = attempt.request_id, self.held.get(attempt.request_id)
-        if held is not None and held.attempt is attempt:
-            del self.held[request_id]
+    def attempt_ended(self, attempt: Attempt, result: Result, response: ServerResponse | None) -> None:
+        request_id, pending = attempt.request_id, self.pending_requests.get(attempt.request_id)
+        if pending is not None and pending.streaming_attempt is attempt:
+            del self.pending_requests[request_id]
             if result is Result.OK:
-                self.figures.ended(held.cls, 200)
-                held.client.end_response()
+                self.metrics.record_outcome(pending.cls, 200)
+                pending.client.end_response()
             else:
-                self.figures.ended(held.cls, 502)
-                held.client.abort_response()
-        elif held is not None and result is Result.OK and answer is not None:
-            del self.held[request_id]
-            log_event("answered", request=held.message.request_id, status=200)
-            self.figures.ended(held.cls, 200)
-            held.client.answer(200, answer.body, answer.content_type)
-        over, elapsed = request_id not in self.held, now_ms() - attempt.started
+                self.metrics.record_outcome(pending.cls, 502)
+                pending.client.abort_response()
+        elif pending is not None and result is Result.OK and response is not None:
+            del self.pending_requests[request_id]
+            log_event("answered", request=pending.message.request_id, status=200)
+            self.metrics.record_outcome(pending.cls, 200)
+            pending.client.answer(200, response.body, response.content_type)
+        request_over, elapsed = request_id not in self.pending_requests, now_ms() - attempt.started
         log_event(
             "attempt_ended",
             request=attempt.message.request_id,
@@ -317,93 +325,101 @@
             written=attempt.request_written,
             ms=elapsed,
         )
-        if held is not None and result is not Result.CANCELLED:
-            self.by_server.ended(attempt.server.id, held.cls, result, elapsed)
+        if pending is not None and result is not Result.CANCELLED:
+            self.server_metrics.record_attempt(attempt.server.id, pending.cls, result, elapsed)
         upload = attempt.message.upload
         spent = upload is not None and upload.spent
-        self.tell(Outcome(request_id, attempt.server.id, over, result, attempt.number, elapsed, spent=spent))
+        self.dispatch_event(
+            Outcome(request_id, attempt.server.id, request_over, result, attempt.number, elapsed, spent=spent)
+        )
 
-    def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
-        request_id, held = attempt.request_id, self.held.get(attempt.request_id)
-        if held is None:  # it is over: nobody waits for the answer
+    def response_started(self, attempt: Attempt, content_length: int | None, content_type: bytes) -> None:
+        request_id, pending = attempt.request_id, self.pending_requests.get(attempt.request_id)
+        if pending is None:  # it is over: nobody waits for the answer
             self.pool.abort_attempt(attempt, Result.CANCELLED)
             return
-        held.attempt = attempt
+        pending.streaming_attempt = attempt
         elapsed = now_ms() - attempt.started
-        self.tell(Began(request_id, attempt.number, attempt.server.id, elapsed))
-        held.client.begin_response(length, content_type)
+        self.dispatch_event(Began(request_id, attempt.number, attempt.server.id, elapsed))
+        pending.client.begin_response(content_length, content_type)
 
-    def response_chunk(self, attempt: Attempt, part: bytes) -> None:
-        held = self.held.get(attempt.request_id)
-        if held is not None:
-            held.client.write_response_chunk(part)
+    def response_chunk(self, attempt: Attempt, chunk: bytes) -> None:
+        pending = self.pending_requests.get(attempt.request_id)
+        if pending is not None:
+            pending.client.write_response_chunk(chunk)
 
     # From discovery.
 
-    def take_list(self, raw: Any, whole: bool) -> int | None:
+    def on_list(self, raw: Any, whole: bool) -> int | None:
         """Take over what a call has brought: its version. ValueError, and nothing taken, if it is no list."""
-        return self.take_members(raw, ListKind.FULL if whole else None)
+        return self.apply_list(raw, ListKind.FULL if whole else None)
 
-    def take_members(self, raw: Any, kind: ListKind | None) -> int | None:
-        members = self.lists.read(raw, kind)
+    def apply_list(self, raw: Any, kind: ListKind | None) -> int | None:
+        members = self.list_reader.read(raw, kind)
         endpoints = members.endpoints
         # The pool first hears of who is new: the module may send to them while it is told.
         for endpoint in endpoints:
             if endpoint.entry.state is State.READY and endpoint.entry.id not in self.pool.servers:
-                self.update_pool(endpoint)
+                self.update_endpoint(endpoint)
         # Then the module: what it sends on because of the list must not go to whom the list takes out.
-        self.tell(ServerList(members.kind, members.version or 0, [each.entry for each in endpoints]))
+        self.dispatch_event(
+            ServerList(members.kind, members.version or 0, [each.entry for each in endpoints])
+        )
         if members.kind is not ListKind.DELTA:
-            named = {endpoint.entry.id for endpoint in endpoints}
-            for server_id in self.listed - named:
-                gone = self.pool.servers[server_id]
-                self.pool.update(server_id, gone.address, State.GONE, gone.started)
-                self.by_server.forget(server_id)
-            self.listed &= named
+            listed_ids = {endpoint.entry.id for endpoint in endpoints}
+            for server_id in self.listed_servers - listed_ids:
+                removed = self.pool.servers[server_id]
+                self.pool.update(server_id, removed.address, State.GONE, removed.started)
+                self.server_metrics.remove_server(server_id)
+            self.listed_servers &= listed_ids
         for endpoint in endpoints:
-            self.update_pool(endpoint)
+            self.update_endpoint(endpoint)
             if endpoint.entry.state is State.GONE:
-                self.listed.discard(endpoint.entry.id)
-                self.by_server.forget(endpoint.entry.id)
+                self.listed_servers.discard(endpoint.entry.id)
+                self.server_metrics.remove_server(endpoint.entry.id)
             else:
-                self.listed.add(endpoint.entry.id)
-                self.by_server.listed(endpoint.entry.id, endpoint.name, endpoint.started_at)
+                self.listed_servers.add(endpoint.entry.id)
+                self.server_metrics.add_server(endpoint.entry.id, endpoint.name, endpoint.started_at)
         if endpoints or members.kind is not ListKind.DELTA:
             self.log_list(members)
         self.healthy = True
         return members.version
 
-    def update_pool(self, endpoint: Endpoint) -> None:
+    def update_endpoint(self, endpoint: Endpoint) -> None:
         entry = endpoint.entry
         self.pool.update(entry.id, endpoint.address, entry.state, entry.started)
 
     def log_list(self, members: MemberList) -> None:
-        first = members.endpoints[:MAX_LOGGED_ENDPOINTS]
-        changed = ", ".join(f"{each.name} {each.entry.state.name.lower()}" for each in first)
-        left = len(members.endpoints) - len(first)
-        more = f" and {left} more" if left else ""
+        logged = members.endpoints[:MAX_LOGGED_ENDPOINTS]
+        changes = ", ".join(f"{each.name} {each.entry.state.name.lower()}" for each in logged)
+        unlogged = len(members.endpoints) - len(logged)
+        more = f" and {unlogged} more" if unlogged else ""
         version = "without a version" if members.version is None else members.version
-        log.info("list %s, %s: %s%s", version, members.kind.name.lower(), changed, more)
+        log.info("list %s, %s: %s%s", version, members.kind.name.lower(), changes, more)
 
-    def take_reach(self, reach: Reach, since: float) -> None:
+    def on_reach(self, reach: Reach, since: float) -> None:
         """How the connection to discovery stands: for how long the list may be routed by is the module's."""
         if reach is Reach.CONFIRMED:
-            self.told.set()
+            self.list_confirmed.set()
         lease, now = self.policy.lease, now_ms()
-        held, before = lease.valid(now), lease.expires - now
-        self.tell(DiscoveryReach(reach, since))
+        was_valid, before = lease.valid(now), lease.expires - now
+        self.dispatch_event(DiscoveryReach(reach, since))
         left = lease.expires - now
-        if reach is not Reach.CONFIRMED or not held:  # a line for each beat of a watch would hide the rest
+        if (
+            reach is not Reach.CONFIRMED or not was_valid
+        ):  # a line for each beat of a watch would hide the rest
             log.info("list lease: %s; %.3f s left, %.3f before", reach.value, left / 1000, before / 1000)
-        if held != lease.valid(now_ms()):
-            log.info("the list %s: discovery is %s", "has run out" if held else "holds again", reach.value)
+        if was_valid != lease.valid(now_ms()):
+            log.info(
+                "the list %s: discovery is %s", "has run out" if was_valid else "holds again", reach.value
+            )
 
     # From operators.
 
-    def calls(self) -> dict[bytes, tuple[bytes, Callable[[bytes], Reply]]]:
+    def admin_calls(self) -> dict[bytes, tuple[bytes, Callable[[bytes], Reply]]]:
         return {
-            b"/admin/health": (b"GET", self.tell_health),
-            b"/admin/stats": (b"GET", self.report),
+            b"/admin/health": (b"GET", self.report_health),
+            b"/admin/stats": (b"GET", self.report_stats),
             b"/admin/servers": (b"GET", self.report_servers),
             b"/admin/cordon": (b"POST", self.cordon),
             b"/admin/uncordon": (b"POST", self.uncordon),
@@ -417,43 +433,44 @@
 
     @property
     def ready(self) -> bool:
-        return self.healthy and self.informed and self.server is not None and not self.draining
+        return self.healthy and self.list_wait_over and self.client_listener is not None and not self.draining
 
     @property
-    def informed(self) -> bool:
+    def list_wait_over(self) -> bool:
         """Whether a list from before a restart has been confirmed, or there is no waiting for that any more.
 
         Where lists are pushed, what discovery has counts as told from a process's first moment.
         """
-        if self.config.settings.ask_for_list or self.told.is_set():
+        if self.config.settings.ask_for_list or self.list_confirmed.is_set():
             return True
-        age = self.loop.time() - self.born
+        age = self.loop.time() - self.started_at
         return age >= MAX_STARTUP_WAIT_S or (age >= CACHED_LIST_WAIT_S and self.policy.lease.valid(now_ms()))
 
-    def tell_health(self, _: bytes) -> Reply:
+    def report_health(self, _: bytes) -> Reply:
         if self.ready:
             return 200, "ready"
         if self.stopping:
             return 503, "stopping"
         return 503, "quiesced" if self.quiesced else "starting"
 
-    def report(self, _: bytes) -> Reply:
-        avoided = self.listed & self.policy.avoided(now_ms())
+    def report_stats(self, _: bytes) -> Reply:
+        avoided = self.listed_servers & self.policy.avoided(now_ms())
         gauges = {
-            "outstanding": sum(not held.uploading for held in self.held.values()) + self.listener.waiting(),
-            "discovered": len(self.listed),
+            "outstanding": sum(not pending.uploading for pending in self.pending_requests.values())
+            + self.listener.waiting(),
+            "discovered": len(self.listed_servers),
             "ejected": len(avoided),
         }
-        return 200, self.figures.lines(gauges)
+        return 200, self.metrics.to_statsd(gauges)
 
     def report_servers(self, _: bytes) -> Reply:
-        out = Counter(attempt.server.id for attempt in self.pool.attempts.values())
-        self.handover.look()  # the other process may have been called
-        return 200, self.by_server.report(out, self.handover.shared.cordoned)
+        outstanding = Counter(attempt.server.id for attempt in self.pool.attempts.values())
+        self.shared_state.look()  # the other process may have been called
+        return 200, self.server_metrics.report(outstanding, self.shared_state.shared.cordoned)
 
     def cordon(self, body: bytes) -> Reply:
-        return self.change_shared(
-            body, "cordoned", lambda shared, name: shared.without(name), self.handover.leave_out
+        return self.change_operator_state(
+            body, "cordoned", lambda shared, name: shared.without(name), self.shared_state.leave_out
         )
 
     def uncordon(self, body: bytes) -> Reply:
@@ -464,18 +481,20 @@
                 return shared
             warm = now - self.config.settings.ramp_time
             forget = {
-                other for other, at in shared.returned.items() if self.handover.returned_at(other, at) <= warm
+                other
+                for other, at in shared.returned.items()
+                if self.shared_state.returned_at(other, at) <= warm
             }
-            return shared.with_back(name, self.handover.stamp_return(name, now), forget)
+            return shared.with_back(name, self.shared_state.stamp_return(name, now), forget)
 
-        return self.change_shared(body, "serves again", edit)
+        return self.change_operator_state(body, "serves again", edit)
 
-    def change_shared(
+    def change_operator_state(
         self,
         body: bytes,
-        done: str,
+        result: str,
         edit: Callable[[OperatorState, str], OperatorState],
-        not_kept: Callable[[str], None] | None = None,
+        on_save_failure: Callable[[str], None] | None = None,
     ) -> Reply:
         """Carry a call out; `not_kept` is told the server's name if the change can't be written down."""
         try:
@@ -484,45 +503,50 @@
             return 400, "the body is no server's id"
         if not name:
             return 400, "the body must be a server's id"
-        self.handover.look()  # the other process may have been called first
+        self.shared_state.look()  # the other process may have been called first
         # One that restarts may be missing from the list just now: who is out is known all the same.
-        if stable_id(name.encode()) not in self.listed and name not in self.handover.shared.cordoned:
+        if (
+            stable_id(name.encode()) not in self.listed_servers
+            and name not in self.shared_state.shared.cordoned
+        ):
             return 404, f"no server {name} is listed"
         try:
-            self.handover.change(lambda shared: edit(shared, name))
+            self.shared_state.change(lambda shared: edit(shared, name))
         except OSError as error:
-            log.warning("%s: not %s: %s", name, done, error)
-            if not_kept is None:
+            log.warning("%s: not %s: %s", name, result, error)
+            if on_save_failure is None:
                 return 503, f"not kept, so not done: {error}"
-            not_kept(name)
+            on_save_failure(name)
             return 503, f"out here and not kept yet: {error}"
-        return 200, f"{name} {done}"
+        return 200, f"{name} {result}"
 
-    def take_shared(self, before: OperatorState, shared: OperatorState) -> None:
+    def on_operator_state_change(self, old: OperatorState, new: OperatorState) -> None:
         """What operators have said here or at another process holds from now on."""
-        for name in sorted(shared.cordoned - before.cordoned):
+        for name in sorted(new.cordoned - old.cordoned):
             server_id = stable_id(name.encode())
             log.info("%s is out", name)
-            self.tell(Cordon(server_id))
+            self.dispatch_event(Cordon(server_id))
             self.pool.cordon(server_id)
-        for name, at in sorted(shared.returned.items()):
-            if before.returned.get(name) != at:
+        for name, at in sorted(new.returned.items()):
+            if old.returned.get(name) != at:
                 log.info("%s is back", name)
-                self.tell(Uncordon(stable_id(name.encode()), self.handover.returned_at(name, at)))
-
-    def look_at_shared(self) -> None:
-        self.loop.call_later(SHARED_STATE_POLL_S, self.look_at_shared)
-        two = self.handover.others
-        self.handover.look()
-        if self.handover.others != two:
-            log.info("the node is %s", "two processes" if self.handover.others else "one process again")
-            self.share_room()
-
-    def share_room(self) -> None:
+                self.dispatch_event(
+                    Uncordon(stable_id(name.encode()), self.shared_state.returned_at(name, at))
+                )
+
+    def poll_shared_state(self) -> None:
+        self.loop.call_later(SHARED_STATE_POLL_S, self.poll_shared_state)
+        had_others = self.shared_state.others
+        self.shared_state.look()
+        if self.shared_state.others != had_others:
+            log.info("the node is %s", "two processes" if self.shared_state.others else "one process again")
+            self.update_limits()
+
+    def update_limits(self) -> None:
         """Two processes are one node: each keeps to half of what it may hold."""
-        parts = 2 if self.handover.others else 1
-        self.body_budget.budget = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // parts
-        clients, servers = connection_limits(self.config.sockets // parts)
+        process_count = 2 if self.shared_state.others else 1
+        self.body_budget.budget = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // process_count
+        clients, servers = connection_limits(self.config.sockets // process_count)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
 
@@ -530,7 +554,7 @@
         """Empty the node: its clients come back elsewhere. What is held and what still comes is served."""
         if not self.quiesced:
             self.quiesced = True
-            log.info("quiesced: %d requests held", len(self.held))
+            log.info("quiesced: %d requests held", len(self.pending_requests))
             self.listener.close_idle()
         return 200, "quiesced"
 
@@ -546,18 +570,18 @@
 
     async def start(self) -> None:
         if self.config.admin is not None:
-            door, address = AdminServer(self.loop, self.calls()), self.config.admin
-            self.door = await self.persist(lambda: door.start(address))
-            self.look_at_shared()
-        self.watch = self.loop.create_task(self.discovery.run())
-        while not self.handover.looked and self.loop.time() - self.born < MAX_STARTUP_WAIT_S:
+            admin_server, address = AdminServer(self.loop, self.admin_calls()), self.config.admin
+            self.admin_listener = await self.listen_with_retry(lambda: admin_server.start(address))
+            self.poll_shared_state()
+        self.discovery_task = self.loop.create_task(self.discovery.run())
+        while not self.shared_state.looked and self.loop.time() - self.started_at < MAX_STARTUP_WAIT_S:
             await asyncio.sleep(SHARED_STATE_POLL_S)  # who is out may stand there
-        if self.handover.others:
-            await self.wait_to_succeed()
-        self.server = await self.persist(self.listener.start)
-        log.info("%s listens on %s:%d", self.config.name, *self.server.sockets[0].getsockname()[:2])
+        if self.shared_state.others:
+            await self.wait_for_list()
+        self.client_listener = await self.listen_with_retry(self.listener.start)
+        log.info("%s listens on %s:%d", self.config.name, *self.client_listener.sockets[0].getsockname()[:2])
 
-    async def persist(self, listen: Callable[[], Awaitable[asyncio.Server]]) -> asyncio.Server:
+    async def listen_with_retry(self, listen: Callable[[], Awaitable[asyncio.Server]]) -> asyncio.Server:
         """Listen, and try again while the system is short of what that takes."""
         while True:
             try:
@@ -565,22 +589,22 @@
             except OSError as error:
                 if (
                     error.errno not in RESOURCE_SHORTAGE_ERRNOS
-                    or self.loop.time() - self.born > MAX_LISTEN_RETRY_S
+                    or self.loop.time() - self.started_at > MAX_LISTEN_RETRY_S
                 ):
                     raise
                 log.warning("not listening yet: %s", error)
             await asyncio.sleep(LISTEN_RETRY_DELAY_S)
 
-    async def wait_to_succeed(self) -> None:
+    async def wait_for_list(self) -> None:
         """While the old process serves, nothing may come to this one that it can't serve as well."""
-        self.share_room()
+        self.update_limits()
         with suppress(TimeoutError):
             async with asyncio.timeout(CACHED_LIST_WAIT_S if self.healthy else None):
-                await self.told.wait()
+                await self.list_confirmed.wait()
 
-    def expect_move(self) -> None:
+    def mark_discovery_moved(self) -> None:
         """SIGHUP: the time in which the old address tells anything runs from now, readable file or not."""
-        self.take_reach(Reach.MOVED, now_ms())
+        self.on_reach(Reach.MOVED, now_ms())
 
     def move_discovery(self, address: Address) -> None:
         """Follow the list at another address from now on; the version held says where to go on."""
@@ -588,35 +612,35 @@
             return
         log.info("discovery moves to %s:%d", *address)
         self.discovery.move(address)
-        if self.watch is not None:
-            self.watch.cancel()
-            self.watch = self.loop.create_task(self.discovery.run())
+        if self.discovery_task is not None:
+            self.discovery_task.cancel()
+            self.discovery_task = self.loop.create_task(self.discovery.run())
 
     async def drain(self) -> None:
         """Take what still comes, answer all that is held, then end."""
-        self.stopping, begun = True, self.loop.time()
-        log.info("stopping: %d requests held", len(self.held))
-        if self.server is not None:
+        self.stopping, started = True, self.loop.time()
+        log.info("stopping: %d requests held", len(self.pending_requests))
+        if self.client_listener is not None:
             self.listener.close_idle()
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.listener.stop()
         # Whoever has not sent its whole request by then can't have its time before SIGKILL may come.
-        await self.emptied(begun + READ_AFTER_SIGTERM_S)
+        await self.wait_until_empty(started + READ_AFTER_SIGTERM_S)
         self.listener.turn_away()
-        await self.emptied(begun + MAX_DRAIN_S)
+        await self.wait_until_empty(started + MAX_DRAIN_S)
         self.close()  # the list is followed to the end: what is held may still be sent again
         log.info("stopped")
 
-    async def emptied(self, until: float) -> None:
+    async def wait_until_empty(self, until: float) -> None:
         """Wait until all clients have their answers and have closed, or until then by the loop's clock."""
         while self.listener.occupied and self.loop.time() < until:
             self.listener.close_idle()
             await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self) -> None:
-        for server in (self.server, self.door):
+        for server in (self.client_listener, self.admin_listener):
             if server is not None:
                 server.close()
-        if self.watch is not None:
-            self.watch.cancel()
-        self.handover.close()
+        if self.discovery_task is not None:
+            self.discovery_task.cancel()
+        self.shared_state.close()
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -65,8 +65,8 @@
         server = self.world.servers[attempt.server]
         figures = self.known(process)
         if attempt.server not in figures.servers:
-            figures.listed(attempt.server, str(attempt.server), server.started)
-        figures.ended(attempt.server, attempt.cls, result, took)
+            figures.add_server(attempt.server, str(attempt.server), server.started)
+        figures.record_attempt(attempt.server, attempt.cls, result, took)
 
     def answered(self, process: SimulatedNode, cls: int, which: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
@@ -111,16 +111,16 @@
         servers = {}
         for number, at in started.items():
             known = figures.servers.get(number)
-            if known is not None and round(known.started) != at:
-                figures.listed(number, str(number), float(at))
+            if known is not None and round(known.started_at) != at:
+                figures.add_server(number, str(number), float(at))
                 known = None
             classes = {}
             for cls, name in enumerate(self.classes):
                 if known is None:
                     classes[name] = Answers()
                     continue
-                took = Counter({b: n for b, n in enumerate(known.took[cls]) if n})
-                classes[name] = Answers(took.total(), known.failed[cls], known.unstarted[cls], took)
+                took = Counter({b: n for b, n in enumerate(known.latency_counts[cls]) if n})
+                classes[name] = Answers(took.total(), known.failed[cls], known.not_started[cls], took)
             servers[str(number)] = ServerCounters(held.get(number, 0), number in out, at, classes)
         counts = self.results.get(process, [[0, 0, 0] for _ in self.classes])
         results = {n: (c[0], c[1], c[2]) for n, c in zip(self.classes, counts, strict=True)}
--- a/tests/net.py
+++ b/tests/net.py
@@ -228,12 +228,12 @@
         return status, text.decode()
 
     async def caller(self) -> Client:
-        assert self.node.door is not None
-        return Client(*await asyncio.open_connection(*self.node.door.sockets[0].getsockname()))
+        assert self.node.admin_listener is not None
+        return Client(*await asyncio.open_connection(*self.node.admin_listener.sockets[0].getsockname()))
 
     async def client(self) -> Client:
-        assert self.node.server is not None
-        return Client(*await asyncio.open_connection(*self.node.server.sockets[0].getsockname()))
+        assert self.node.client_listener is not None
+        return Client(*await asyncio.open_connection(*self.node.client_listener.sockets[0].getsockname()))
 
 
 @asynccontextmanager
@@ -247,7 +247,7 @@
     await node.start()
     try:
         async with asyncio.timeout(WAIT if confirmed else None):
-            await (node.told.wait() if confirmed else asyncio.sleep(0))
+            await (node.list_confirmed.wait() if confirmed else asyncio.sleep(0))
         yield stand
     finally:
         node.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -24,7 +24,7 @@
 def test_without_an_address_there_is_no_door() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            assert stand.node.door is None
+            assert stand.node.admin_listener is None
 
     run(test())
 
@@ -129,13 +129,13 @@
             assert (await idle.ask(request()))[0] == 200
             release.clear()
             holder.writer.write(request())
-            await until(lambda: len(stand.node.held) == 1)
+            await until(lambda: len(stand.node.pending_requests) == 1)
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert await idle.end() == b""  # closed though nothing was asked
             late = await stand.client()  # before the front has turned away
             late.writer.write(request())
-            await until(lambda: len(stand.node.held) == 2)
+            await until(lambda: len(stand.node.pending_requests) == 2)
             silent = await stand.client()
             assert (await (await stand.client()).ask(HEALTH))[0] == 503
             assert (await stand.call("GET", "health"))[0] == 503
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -103,7 +103,7 @@
             due = (await stand.event(Uploaded)).due  # its time runs from the last byte
             assert 0 < due - now_ms() < 8000.0
             assert (await stand.outcome()).result == Result.OK
-            assert stand.node.body_budget.bodies == 0 and not stand.node.held
+            assert stand.node.body_budget.bodies == 0 and not stand.node.pending_requests
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200  # the connection goes on
 
     run(test())
@@ -148,7 +148,11 @@
             assert isinstance(await stand.event(Began), Began)
             outcome = await stand.outcome()
             assert (outcome.result, outcome.over) == (Result.OK, True)
-            assert stand.node.body_budget.bodies == 0 and not stand.node.held and not stand.node.pool.attempts
+            assert (
+                stand.node.body_budget.bodies == 0
+                and not stand.node.pending_requests
+                and not stand.node.pool.attempts
+            )
             if version == b"HTTP/1.1":
                 assert field(head, b"Connection") is None
                 client.writer.write(request())
@@ -219,7 +223,7 @@
                 assert len((await read_answer(client))[1]) < 0  # not reached: it raises
             found = await stats(stand)
             assert (found["results.book.aborted"], found["outstanding"], found["forwards"]) == (1, 0, 1)
-            assert not stand.node.held and stand.node.body_budget.bodies == 0
+            assert not stand.node.pending_requests and stand.node.body_budget.bodies == 0
 
     run(test())
 
@@ -246,7 +250,7 @@
                 before = written[0]
                 await asyncio.sleep(0.2)
             assert before < 32 << 20
-            (held,) = stand.node.held.values()
+            (held,) = stand.node.pending_requests.values()
             assert held.client.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES
             assert (await stats(stand))["outstanding"] == 1
             client.reader._limit = 1 << 20  # type: ignore[attr-defined]
@@ -254,9 +258,9 @@
             async with asyncio.timeout(WAIT):
                 while left > 0:
                     left -= len(await client.reader.read(1 << 20))
-                    if not stand.node.held:
+                    if not stand.node.pending_requests:
                         break
-            await until(lambda: not stand.node.held)
+            await until(lambda: not stand.node.pending_requests)
             assert (await stats(stand))["results.find.succeeded"] == 1
 
     run(test())
@@ -351,7 +355,11 @@
             client.writer.transport.abort()
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(taker.ended.wait(), WAIT)
-            assert not stand.node.held and not stand.node.pool.attempts and stand.node.body_budget.bodies == 0
+            assert (
+                not stand.node.pending_requests
+                and not stand.node.pool.attempts
+                and stand.node.body_budget.bodies == 0
+            )
             server = stand.node.policy.servers[stable_id(b"s-1")]
             assert not any(health.fails for health in server.health)
             assert not server.open and not server.uploads and stand.node.policy.flying == 0
@@ -371,7 +379,7 @@
             assert await client.end() == b""
             await asyncio.wait_for(taker.ended.wait(), WAIT)
             assert (await stand.outcome()).result == Result.CANCELLED
-            assert not stand.node.pool.attempts and stand.node.figures.forwards == 0
+            assert not stand.node.pool.attempts and stand.node.metrics.forwards == 0
 
     run(test())
 
@@ -429,7 +437,7 @@
             client = await stand.client()
             client.writer.write(request() + upload(BIG) + request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            assert len(stand.node.held) == 1
+            assert len(stand.node.pending_requests) == 1
             (connection,) = stand.node.listener.connections
             await until(lambda: connection.held)  # read no further meanwhile
             release.set()
@@ -581,6 +589,6 @@
             client.writer.transport.abort()
             await asyncio.wait_for(peer.ended.get(), WAIT)
             await until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
-            assert not stand.node.held and stand.node.body_budget.bodies == 0
+            assert not stand.node.pending_requests and stand.node.body_budget.bodies == 0
 
     run(test())
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -140,7 +140,7 @@
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
         async with running(*peers, attempts=3, admin=DOOR) as stand:
-            send, out = stand.node.send, []
+            send, out = stand.node.send_attempt, []
 
             def taken_out_at_once(action: Send) -> None:
                 send(action)
@@ -148,7 +148,7 @@
                     out.append("s-1" if action.server == stable_id(b"s-1") else "s-2")
                     asyncio.get_running_loop().call_soon(stand.node.cordon, out[0].encode())
 
-            stand.node.perform[Send] = taken_out_at_once
+            stand.node.action_handlers[Send] = taken_out_at_once
             assert (await (await stand.client()).ask(request("pay")))[0] == 200
             assert (await stand.outcome()).result == Result.UNREACHABLE
             assert peers[0 if out == ["s-1"] else 1].requests.empty()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -76,11 +76,11 @@
     """A client's socket that does nothing by itself."""
 
     def __init__(self, stand: Stand, buffer: int = 0) -> None:
-        assert stand.node.server is not None
+        assert stand.node.client_listener is not None
         self.socket = socket.socket()
         if buffer:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
-        self.socket.connect(stand.node.server.sockets[0].getsockname())
+        self.socket.connect(stand.node.client_listener.sockets[0].getsockname())
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
@@ -178,7 +178,7 @@
             assert await client.rest() == b""
             client.close()
             await until(lambda: not stand.node.listener.connections and not stand.node.listener.lingering)
-            assert peer.requests.empty() and not stand.node.held
+            assert peer.requests.empty() and not stand.node.pending_requests
 
     run(test())
 
@@ -215,7 +215,7 @@
             stand.node.listener.turn_away()
             told = await client.rest()
             assert told.startswith(b"HTTP/1.1 503") and b"Connection: close" in told
-            assert not stand.node.held and peer.requests.empty()
+            assert not stand.node.pending_requests and peer.requests.empty()
 
     run(test())
 
@@ -234,7 +234,7 @@
             assert await client.rest() == b""
             client.close()
             await until(lambda: not stand.node.listener.lingering)
-            assert peer.requests.qsize() == 1 and not stand.node.held
+            assert peer.requests.qsize() == 1 and not stand.node.pending_requests
 
     run(test())
 
@@ -286,7 +286,7 @@
             leave(client)
             await stand.event(Withdrawn)
             await until(lambda: not stand.node.listener.connections)
-            assert peer.requests.empty() and not stand.node.held
+            assert peer.requests.empty() and not stand.node.pending_requests
 
     run(test())
 
@@ -318,7 +318,7 @@
             leave(client)
             await stand.event(Withdrawn)
             await until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
 
@@ -361,7 +361,7 @@
             client.close()
             await stand.event(Withdrawn)
             await until(lambda: not stand.node.listener.connections)
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
 
@@ -381,13 +381,13 @@
             policy = stand.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             sends: list[int] = []
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def spy(action: Send) -> None:
                 sends.append(action.server)
                 send(action)
 
-            stand.node.perform[Send] = spy
+            stand.node.action_handlers[Send] = spy
             policy.pick = lambda job: policy.servers[  # type: ignore[method-assign]
                 stable_id(b"s-2" if job.tries else b"s-1")
             ]
@@ -471,13 +471,13 @@
         async with running(peer) as stand:
             client, loop = await stand.client(), asyncio.get_running_loop()
             assert (await client.ask(request()))[0] == 200
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def withdrawn_at_once(action: Send) -> None:
                 send(action)
                 loop.call_soon(stand.node.client_gone, action.id)
 
-            stand.node.perform[Send] = withdrawn_at_once
+            stand.node.action_handlers[Send] = withdrawn_at_once
             client.writer.write(request())
             await stand.event(Withdrawn)
             await until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
@@ -537,15 +537,15 @@
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def drained_at_once(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
+                stand.node.on_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            stand.node.perform[Send] = drained_at_once
+            stand.node.action_handlers[Send] = drained_at_once
             assert (await client.ask(request()))[0] == 503
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.qsize() == 1 and peer.connections == 1
@@ -572,13 +572,13 @@
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request("pay")))[0] == 200
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def crossed(action: Send) -> None:
                 happen(peer.sockets[0])  # in the very step in which the next attempt goes out
                 send(action)
 
-            stand.node.perform[Send] = crossed
+            stand.node.action_handlers[Send] = crossed
             assert (await client.ask(request("pay")))[0] == 200  # it might not have been sent twice
             assert len(peer.sockets) == 2
         peer.close()
@@ -659,7 +659,7 @@
             for start in range(0, len(data), cut or len(data)):
                 agent.lines.put_nowait(data[start : start + cut] if cut else data)
             await told(stand, 3)
-            assert stand.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
+            assert stand.node.listed_servers == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
             agent.lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
             await told(stand, 4)
             assert calls.empty()  # nothing had to be asked anew
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures at the operators' door against what clients and servers saw."""
+"""The metrics at the operators' door against what clients and servers saw."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 
 def test_the_lines_are_in_statsd_form() -> None:
-    figures = Metrics(["find"])
+    metrics = Metrics(["find"])
     for status in (200, 503, 429, 502, 500):
-        figures.ended(0, status)
-    assert figures.lines({"outstanding": 14}).splitlines() == [
+        metrics.record_outcome(0, status)
+    assert metrics.to_statsd({"outstanding": 14}).splitlines() == [
         "edge_router.results.find.succeeded:1|c",
         "edge_router.results.find.declined:2|c",
         "edge_router.results.find.aborted:2|c",
@@ -90,10 +90,10 @@
             client, leaver = await stand.client(), await stand.client()
             client.writer.write(request() * 3)
             leaver.writer.write(request())
-            await until(lambda: len(stand.node.held) == 2)
+            await until(lambda: len(stand.node.pending_requests) == 2)
             assert (await stats(stand))["outstanding"] == 4
             leaver.writer.close()
-            await until(lambda: len(stand.node.held) == 1)
+            await until(lambda: len(stand.node.pending_requests) == 1)
             assert (await stats(stand))["outstanding"] == 3
             release.set()
             for _ in range(3):
@@ -184,12 +184,12 @@
 
 
 def test_a_bucket_is_a_fourth_of_an_octave_and_the_last_holds_the_rest() -> None:
-    figures = ServerMetrics(["find"])
-    figures.listed(1, "s-1", 0.0)
+    metrics = ServerMetrics(["find"])
+    metrics.add_server(1, "s-1", 0.0)
     for took in (0.0, 1.0, 3.0, 100.0, 1e9):
-        figures.ended(1, 0, Result.OK, took)
-    figures.ended(2, 0, Result.OK, 1.0)  # not listed any more: nobody asks for it
-    buckets = json.loads(figures.report({}, set()))["s-1"]["classes"]["find"]["took"]
+        metrics.record_attempt(1, 0, Result.OK, took)
+    metrics.record_attempt(2, 0, Result.OK, 1.0)  # not listed any more: nobody asks for it
+    buckets = json.loads(metrics.report({}, set()))["s-1"]["classes"]["find"]["took"]
     assert buckets == [[0, 1], [4, 1], [8, 1], [26, 1], [63, 1]]
     for took, (bucket, _) in zip((0.0, 1.0, 3.0, 100.0), buckets, strict=False):
         assert 2 ** (bucket / 4) - 1 <= took < 2 ** ((bucket + 1) / 4) - 1
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -120,7 +120,7 @@
             assert (await stand.outcome()).result == result
             assert status == (200 if result is Result.OK else 503)
             assert (field(head, b"Retry-After") is None) == (status == 200)  # who is refused is told when
-            assert not stand.node.held and not stand.node.pool.attempts
+            assert not stand.node.pending_requests and not stand.node.pool.attempts
 
     run(test())
 
@@ -174,15 +174,15 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
-            send = node.send
+            send = node.send_attempt
 
             def drained_at_once(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
+                stand.node.on_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            node.perform[Send] = drained_at_once
+            node.action_handlers[Send] = drained_at_once
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(WAIT):
@@ -263,7 +263,7 @@
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(peer.ended.get(), WAIT)
             node = stand.node
-            assert not node.held and not node.pool.attempts and not node.listener.connections
+            assert not node.pending_requests and not node.pool.attempts and not node.listener.connections
 
     run(test())
 
@@ -273,16 +273,16 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def cancelled_at_once(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.perform[Send] = cancelled_at_once
+            stand.node.action_handlers[Send] = cancelled_at_once
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == Result.CANCELLED
-            stand.node.perform[Send] = send
+            stand.node.action_handlers[Send] = send
             assert (await client.ask(request()))[0] == 200
             assert pool.pending_connects == 0 and len(pool.connections) == 1 and not pool.attempts
 
@@ -439,7 +439,7 @@
 def test_many_answers_at_once_do_not_nest() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # else it is not ready yet
+            await asyncio.wait_for(stand.node.list_confirmed.wait(), WAIT)  # else it is not ready yet
             client = await stand.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -509,7 +509,7 @@
             assert (await client.ask(request()))[0] == 500
             stand.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -564,7 +564,7 @@
             for _ in range(3):
                 call = await asyncio.wait_for(stand.agent.calls.get(), WAIT)
                 assert call == WATCH
-            assert stand.node.healthy and not stand.node.pool.servers.keys() - stand.node.listed
+            assert stand.node.healthy and not stand.node.pool.servers.keys() - stand.node.listed_servers
 
     run(test())
 
@@ -604,7 +604,9 @@
         # Where lists are pushed, a proof that discovery is down holds for half the grace; here there is one.
         rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * WAIT)
         async with running(peer, settings=rules) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # an empty line: nothing has changed
+            await asyncio.wait_for(
+                stand.node.list_confirmed.wait(), WAIT
+            )  # an empty line: nothing has changed
         monkeypatch.setattr(
             discovery.Discovery, "run", lambda self: asyncio.Event().wait()
         )  # it says nothing
@@ -613,15 +615,15 @@
             assert (await client.ask(health))[0] == (200 if asks else 503)
             # What has changed since the list from before counts as told where it is pushed.
             assert (await client.ask(request()))[0] == (200 if asks else 503)
-            stand.node.take_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
-            stand.node.take_reach(Reach.CONFIRMED, now_ms())
+            stand.node.on_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
+            stand.node.on_reach(Reach.CONFIRMED, now_ms())
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
         monkeypatch.setattr(node, "CACHED_LIST_WAIT_S", 0.0)
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
-            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # it is down: the list from before has to do
+            stand.node.on_reach(Reach.UNREACHABLE, now_ms())  # it is down: the list from before has to do
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
 
@@ -635,7 +637,7 @@
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.answer(stand.node.last_id, 502)
+            stand.node.send_final_response(stand.node.last_id, 502)
             stand.node.pool.cancel(stand.node.last_id, 0)
             assert (await client.answer())[0] == 502
             outcome: Outcome = await stand.outcome()
@@ -874,7 +876,7 @@
                 await rude.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -105,8 +105,8 @@
 def test_connections_that_the_kernel_has_queued_are_served_when_the_listener_closes() -> None:
     async def test() -> None:
         async with running(await Peer().start(), admin=DOOR) as stand:
-            assert stand.node.server is not None
-            address = stand.node.server.sockets[0].getsockname()
+            assert stand.node.client_listener is not None
+            address = stand.node.client_listener.sockets[0].getsockname()
             queued = [socket.create_connection(address) for _ in range(5)]  # the loop has not seen them
             stand.node.listener.stop()
             for connection in queued:
@@ -144,8 +144,8 @@
 def test_without_a_door_a_second_process_is_refused_the_address() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            assert stand.node.server is not None
-            taken = stand.node.server.sockets[0].getsockname()
+            assert stand.node.client_listener is not None
+            taken = stand.node.client_listener.sockets[0].getsockname()
             with pytest.raises(OSError, match="in use"):
                 async with running(listen=taken[:2]):
                     pass
