--- a/flaxstep/proxy/member_list.py
+++ b/flaxstep/proxy/member_list.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
+class StartTime:
     """When an endpoint started, as first listed."""
 
     unix: float  # ms
@@ -65,9 +65,11 @@
     clock: WallClock
     stable_id: Callable[[bytes], int]
     membership: Membership = field(default_factory=Membership)
-    known: dict[int, Endpoint] = field(default_factory=dict)
-    starts: OrderedDict[int, Start] = field(default_factory=OrderedDict)  # also of those that have left
-    told: OrderedDict[str, None] = field(default_factory=OrderedDict)  # faults that were logged
+    known_endpoints: dict[int, Endpoint] = field(default_factory=dict)
+    known_starts: OrderedDict[int, StartTime] = field(
+        default_factory=OrderedDict
+    )  # also of those that have left
+    logged_faults: OrderedDict[str, None] = field(default_factory=OrderedDict)  # faults that were logged
 
     def read(self, raw: Any, kind: ListKind | None) -> MemberList:
         """Read a list; `kind` is None for a line of a watch, which says itself whether it is whole.
@@ -77,8 +79,8 @@
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
             raise ValueError("no object with instances")
-        of_watch = kind is None
-        if step := self.clock.measure():
+        from_watch = kind is None
+        if step := self.clock.detect_step():
             log.warning("the wall clock was stepped by %.0f ms; spans are kept", step)
         if kind is None:
             reset = raw.get("reset")
@@ -87,15 +89,17 @@
             kind = ListKind.FULL if reset else ListKind.DELTA
         version = raw.get("generation")
         if isinstance(version, bool) or not isinstance(version, int):
-            self._log(_Fault("the list", "generation", version))
+            self._log_fault(_Fault("the list", "generation", version))
             version = None
-        lines = raw["instances"]
-        if of_watch and (version is None or not all(map(self._named, lines))):
+        instances = raw["instances"]
+        if from_watch and (version is None or not all(map(self._has_instance_id, instances))):
             kind, version = ListKind.DELTA, None
-        endpoints = [found for line in lines if (found := self._endpoint(line)) is not None]
+        endpoints = [
+            endpoint for instance in instances if (endpoint := self._read_endpoint(instance)) is not None
+        ]
         # Of entries that name one endpoint twice the last one counts.
-        latest = {endpoint.entry.id: endpoint for endpoint in endpoints}
-        return MemberList(kind, version, self._resolve(kind, version, list(latest.values())))
+        latest_by_id = {endpoint.entry.id: endpoint for endpoint in endpoints}
+        return MemberList(kind, version, self._resolve(kind, version, list(latest_by_id.values())))
 
     def _resolve(self, kind: ListKind, version: int | None, endpoints: list[Endpoint]) -> list[Endpoint]:
         entries = [endpoint.entry for endpoint in endpoints]
@@ -105,117 +109,117 @@
             for entry, endpoint in zip(resolved, endpoints, strict=True)
         ]
         if kind is not ListKind.DELTA:
-            self.known.clear()
+            self.known_endpoints.clear()
         for endpoint in endpoints:
             if endpoint.entry.state is State.GONE:
-                self.known.pop(endpoint.entry.id, None)
+                self.known_endpoints.pop(endpoint.entry.id, None)
             else:
-                self.known[endpoint.entry.id] = endpoint
+                self.known_endpoints[endpoint.entry.id] = endpoint
         return endpoints
 
-    def _named(self, line: Any) -> bool:
+    def _has_instance_id(self, instance: Any) -> bool:
         """Whether an entry says whom it is about."""
-        if not isinstance(line, dict):
-            self._log(_Fault("an entry", "it", line))
+        if not isinstance(instance, dict):
+            self._log_fault(_Fault("an entry", "it", instance))
             return False
-        name = line.get("instanceId")
+        name = instance.get("instanceId")
         if isinstance(name, str) and name:
             return True
-        self._log(_Fault("an entry", "instanceId", name))
+        self._log_fault(_Fault("an entry", "instanceId", name))
         return False
 
-    def _endpoint(self, line: Any) -> Endpoint | None:
+    def _read_endpoint(self, instance: Any) -> Endpoint | None:
         """One entry; None if it says nothing that can be used.
 
         What tells who it is and whether it drains is enough. The rest falls back on what was known.
         """
-        if not self._named(line):
+        if not self._has_instance_id(instance):
             return None
-        name = line["instanceId"]
+        name = instance["instanceId"]
         endpoint_id = self.stable_id(name.encode("utf-8", "surrogatepass"))
-        old = self.known.get(endpoint_id)
-        state = self._state(name, line.get("lifecycle"))
+        previous = self.known_endpoints.get(endpoint_id)
+        state = self._read_state(name, instance.get("lifecycle"))
         if state is None:
-            return old  # it is named, so it has not left
-        address = self._address(name, line.get("hostPort"), old)
+            return previous  # it is named, so it has not left
+        address = self._read_address(name, instance.get("hostPort"), previous)
         if address is None:
             if state is State.READY:
                 return None  # there is no way to it
             address = ("", 0)
-        started_at = self._started_at(name, line.get("startedAtMs", 0), old)
+        started_at = self._read_started_at(name, instance.get("startedAtMs", 0), previous)
         entry = ServerEntry(
             id=endpoint_id,
-            zone=self._number(line.get("zone"), self.zones),
-            kind=self._number(line.get("machineType"), self.kinds),
-            cell=self._cell(name, line.get("cell", -1)),
+            zone=self._number_of(instance.get("zone"), self.zones),
+            kind=self._number_of(instance.get("machineType"), self.kinds),
+            cell=self._read_cell(name, instance.get("cell", -1)),
             state=state,
-            size=self._size(name, line.get("weight", 1.0), old),
-            started=self._started(endpoint_id, started_at),
+            size=self._read_size(name, instance.get("weight", 1.0), previous),
+            started=self._monotonic_start(endpoint_id, started_at),
         )
         return Endpoint(entry, address, name, started_at)
 
-    def _state(self, name: str, word: object) -> State | None:
-        if isinstance(word, str) and word in STATE_BY_LIFECYCLE:
-            return STATE_BY_LIFECYCLE[word]
-        self._log(_Fault(name, "lifecycle", word))
-        return State.DRAINING if isinstance(word, str) else None  # whatever it is in, it is not active
+    def _read_state(self, name: str, lifecycle: object) -> State | None:
+        if isinstance(lifecycle, str) and lifecycle in STATE_BY_LIFECYCLE:
+            return STATE_BY_LIFECYCLE[lifecycle]
+        self._log_fault(_Fault(name, "lifecycle", lifecycle))
+        return State.DRAINING if isinstance(lifecycle, str) else None  # whatever it is in, it is not active
 
-    def _address(self, name: str, text: object, old: Endpoint | None) -> Address | None:
+    def _read_address(self, name: str, text: object, previous: Endpoint | None) -> Address | None:
         try:
             if isinstance(text, str):
                 return parse_address(text)
         except ValueError:
             pass
-        self._log(_Fault(name, "hostPort", text))
-        return None if old is None else old.address
+        self._log_fault(_Fault(name, "hostPort", text))
+        return None if previous is None else previous.address
 
     @staticmethod
-    def _number(name: object, numbers: dict[str, int]) -> int:
+    def _number_of(name: object, numbers: dict[str, int]) -> int:
         return numbers.get(name, -1) if isinstance(name, str) else -1
 
-    def _cell(self, name: str, value: object) -> int:
+    def _read_cell(self, name: str, value: object) -> int:
         if isinstance(value, int) and not isinstance(value, bool):
             return value
-        self._log(_Fault(name, "cell", value))
+        self._log_fault(_Fault(name, "cell", value))
         return -1
 
-    def _size(self, name: str, value: object, old: Endpoint | None) -> float:
-        if _finite(value) and value >= 0:  # type: ignore[operator]  # _finite has seen to that
+    def _read_size(self, name: str, value: object, previous: Endpoint | None) -> float:
+        if _is_finite_number(value) and value >= 0:  # type: ignore[operator]  # checked by _is_finite_number
             return float(value)  # type: ignore[arg-type]
-        self._log(_Fault(name, "weight", value))
-        return 1.0 if old is None else old.entry.size
+        self._log_fault(_Fault(name, "weight", value))
+        return 1.0 if previous is None else previous.entry.size
 
-    def _started_at(self, name: str, value: object, old: Endpoint | None) -> float:
+    def _read_started_at(self, name: str, value: object, previous: Endpoint | None) -> float:
         """Unix time in ms; 0 for long ago. One that can't be read counts as just now, so as cold."""
-        if _finite(value):
+        if _is_finite_number(value):
             return float(value)  # type: ignore[arg-type]
-        self._log(_Fault(name, "startedAtMs", value))
-        return self.clock.unix() if old is None else old.started_at
+        self._log_fault(_Fault(name, "startedAtMs", value))
+        return self.clock.unix() if previous is None else previous.started_at
 
-    def _started(self, endpoint_id: int, unix: float) -> float:
+    def _monotonic_start(self, endpoint_id: int, unix: float) -> float:
         """The same on the monotonic clock. What was known stays, whatever has become of Unix time.
 
         Also of an endpoint that has left: an older list that names it again tells of no new start.
         """
-        start = self.starts.pop(endpoint_id, None)
+        start = self.known_starts.pop(endpoint_id, None)
         if start is None or start.unix != unix:
-            start = Start(unix, self.clock.moment(unix) if unix else 0.0)
-        self.starts[endpoint_id] = start
-        while len(self.starts) > len(self.known) + MAX_TOMBSTONES:
-            self.starts.popitem(last=False)
+            start = StartTime(unix, self.clock.to_monotonic(unix) if unix else 0.0)
+        self.known_starts[endpoint_id] = start
+        while len(self.known_starts) > len(self.known_endpoints) + MAX_TOMBSTONES:
+            self.known_starts.popitem(last=False)
         return start.monotonic
 
-    def _log(self, fault: _Fault) -> None:
-        words = f"{fault.name}: {fault.key} is {str(fault.value)[:80]!r}"
-        if words in self.told:
+    def _log_fault(self, fault: _Fault) -> None:
+        message = f"{fault.name}: {fault.key} is {str(fault.value)[:80]!r}"
+        if message in self.logged_faults:
             return
-        self.told[words] = None
-        if len(self.told) > MAX_LOGGED_FAULTS:
-            self.told.popitem(last=False)
-        log.warning("discovery: %s; the other entries hold", words)
+        self.logged_faults[message] = None
+        if len(self.logged_faults) > MAX_LOGGED_FAULTS:
+            self.logged_faults.popitem(last=False)
+        log.warning("discovery: %s; the other entries hold", message)
 
 
-def _finite(value: object) -> bool:
+def _is_finite_number(value: object) -> bool:
     """Whether it is a number that can be reckoned with: JSON readers let NaN and huge integers through."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -465,27 +465,27 @@
 
     def report_servers(self, _: bytes) -> Reply:
         outstanding = Counter(attempt.server.id for attempt in self.pool.attempts.values())
-        self.shared_state.look()  # the other process may have been called
-        return 200, self.server_metrics.report(outstanding, self.shared_state.shared.cordoned)
+        self.shared_state.refresh()  # the other process may have been called
+        return 200, self.server_metrics.report(outstanding, self.shared_state.state.cordoned)
 
     def cordon(self, body: bytes) -> Reply:
         return self.change_operator_state(
-            body, "cordoned", lambda shared, name: shared.without(name), self.shared_state.leave_out
+            body, "cordoned", lambda state, name: state.with_cordoned(name), self.shared_state.cordon_unsaved
         )
 
     def uncordon(self, body: bytes) -> Reply:
         now = now_ms()
 
-        def edit(shared: OperatorState, name: str) -> OperatorState:
-            if name not in shared.cordoned:
-                return shared
+        def edit(state: OperatorState, name: str) -> OperatorState:
+            if name not in state.cordoned:
+                return state
             warm = now - self.config.settings.ramp_time
             forget = {
                 other
-                for other, at in shared.returned.items()
-                if self.shared_state.returned_at(other, at) <= warm
+                for other, at in state.returned.items()
+                if self.shared_state.return_time(other, at) <= warm
             }
-            return shared.with_back(name, self.shared_state.stamp_return(name, now), forget)
+            return state.with_returned(name, self.shared_state.record_return(name, now), forget)
 
         return self.change_operator_state(body, "serves again", edit)
 
@@ -503,15 +503,15 @@
             return 400, "the body is no server's id"
         if not name:
             return 400, "the body must be a server's id"
-        self.shared_state.look()  # the other process may have been called first
+        self.shared_state.refresh()  # the other process may have been called first
         # One that restarts may be missing from the list just now: who is out is known all the same.
         if (
             stable_id(name.encode()) not in self.listed_servers
-            and name not in self.shared_state.shared.cordoned
+            and name not in self.shared_state.state.cordoned
         ):
             return 404, f"no server {name} is listed"
         try:
-            self.shared_state.change(lambda shared: edit(shared, name))
+            self.shared_state.apply_change(lambda state: edit(state, name))
         except OSError as error:
             log.warning("%s: not %s: %s", name, result, error)
             if on_save_failure is None:
@@ -531,20 +531,22 @@
             if old.returned.get(name) != at:
                 log.info("%s is back", name)
                 self.dispatch_event(
-                    Uncordon(stable_id(name.encode()), self.shared_state.returned_at(name, at))
+                    Uncordon(stable_id(name.encode()), self.shared_state.return_time(name, at))
                 )
 
     def poll_shared_state(self) -> None:
         self.loop.call_later(SHARED_STATE_POLL_S, self.poll_shared_state)
-        had_others = self.shared_state.others
-        self.shared_state.look()
-        if self.shared_state.others != had_others:
-            log.info("the node is %s", "two processes" if self.shared_state.others else "one process again")
+        had_others = self.shared_state.others_running
+        self.shared_state.refresh()
+        if self.shared_state.others_running != had_others:
+            log.info(
+                "the node is %s", "two processes" if self.shared_state.others_running else "one process again"
+            )
             self.update_limits()
 
     def update_limits(self) -> None:
         """Two processes are one node: each keeps to half of what it may hold."""
-        process_count = 2 if self.shared_state.others else 1
+        process_count = 2 if self.shared_state.others_running else 1
         self.body_budget.budget = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // process_count
         clients, servers = connection_limits(self.config.sockets // process_count)
         self.listener.set_limit(clients)
@@ -574,9 +576,9 @@
             self.admin_listener = await self.listen_with_retry(lambda: admin_server.start(address))
             self.poll_shared_state()
         self.discovery_task = self.loop.create_task(self.discovery.run())
-        while not self.shared_state.looked and self.loop.time() - self.started_at < MAX_STARTUP_WAIT_S:
+        while not self.shared_state.fully_read and self.loop.time() - self.started_at < MAX_STARTUP_WAIT_S:
             await asyncio.sleep(SHARED_STATE_POLL_S)  # who is out may stand there
-        if self.shared_state.others:
+        if self.shared_state.others_running:
             await self.wait_for_list()
         self.client_listener = await self.listen_with_retry(self.listener.start)
         log.info("%s listens on %s:%d", self.config.name, *self.client_listener.sockets[0].getsockname()[:2])
--- a/flaxstep/proxy/wall_clock.py
+++ b/flaxstep/proxy/wall_clock.py
@@ -29,16 +29,16 @@
     def __init__(self, unix: Callable[[], float] = unix_ms, monotonic: Callable[[], float] = now_ms) -> None:
         self.unix = unix
         self.monotonic = monotonic
-        self.offset = self.lowest = unix() - monotonic()  # Unix time less the monotonic clock, ms
+        self.offset = self.lowest_offset = unix() - monotonic()  # Unix time less the monotonic clock, ms
 
-    def measure(self) -> float:
+    def detect_step(self) -> float:
         """Compare the clocks again; by how many ms Unix time was stepped since the last look, else 0."""
         offset = self.unix() - self.monotonic()
         step = offset - self.offset
         self.offset = offset
-        self.lowest = min(self.lowest, offset)
+        self.lowest_offset = min(self.lowest_offset, offset)
         return step if abs(step) >= MIN_STEP_MS else 0.0
 
-    def moment(self, unix: float) -> float:
+    def to_monotonic(self, unix: float) -> float:
         """When that was on the monotonic clock, at the latest; never ahead of now."""
-        return min(unix - self.lowest, self.monotonic())
+        return min(unix - self.lowest_offset, self.monotonic())
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -190,14 +190,14 @@
 ) -> None:
     first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
-    first.change(lambda shared: shared.without("s-1"))
-    first.file.write_bytes(data)
+    first.apply_change(lambda state: state.with_cordoned("s-1"))
+    first.state_file.write_bytes(data)
     second = SharedState(tmp_path, "n0", lambda before, now: None)
     second.start()
-    assert second.shared == OperatorState() and str(second.file) in caplog.text
-    first.change(lambda shared: shared.without("s-2"))
-    second.look()
-    assert second.shared.cordoned == {"s-1", "s-2"}
+    assert second.state == OperatorState() and str(second.state_file) in caplog.text
+    first.apply_change(lambda state: state.with_cordoned("s-2"))
+    second.refresh()
+    assert second.state.cordoned == {"s-1", "s-2"}
     first.close()
     second.close()
 
@@ -216,9 +216,9 @@
         tmp_path.mkdir()
         successor = SharedState(tmp_path, "n0", lambda before, now: None)
         async with asyncio.timeout(WAIT):
-            while not successor.shared.cordoned:
+            while not successor.state.cordoned:
                 await asyncio.sleep(0.02)
-                successor.look()
+                successor.refresh()
         successor.close()
         assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200
         assert not stand.node.policy.cordoned
@@ -230,7 +230,7 @@
     run(whole())
 
 
-@pytest.mark.parametrize("call", ["file_stamp", "read_limited", "held"])
+@pytest.mark.parametrize("call", ["file_stamp", "read_limited", "is_locked"])
 @pytest.mark.parametrize("code", [errno.EIO, errno.EMFILE, errno.ENFILE])
 def test_what_could_not_be_read_once_is_read_at_the_next_look(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, code: int
@@ -238,7 +238,7 @@
     """One failed read is no proof that nobody is out, and none that no other process runs."""
     first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
-    first.change(lambda shared: shared.without("s-1"))
+    first.apply_change(lambda state: state.with_cordoned("s-1"))
 
     def fail(path: Path) -> None:
         raise OSError(code, os.strerror(code))
@@ -247,11 +247,11 @@
     with monkeypatch.context() as failing:
         failing.setattr(shared_state, call, fail)
         second.start()
-        assert not second.looked
-    second.look()
-    assert second.looked and second.others and second.shared.cordoned == {"s-1"}
-    first.look()
-    assert first.others  # and it is seen, though it could not make itself seen at its start
+        assert not second.fully_read
+    second.refresh()
+    assert second.fully_read and second.others_running and second.state.cordoned == {"s-1"}
+    first.refresh()
+    assert first.others_running  # and it is seen, though it could not make itself seen at its start
     first.close()
     second.close()
 
@@ -261,7 +261,7 @@
 ) -> None:
     before = SharedState(tmp_path, "n0", lambda before, now: None)
     before.start()
-    before.change(lambda shared: shared.without("s-1"))
+    before.apply_change(lambda state: state.with_cordoned("s-1"))
     before.close()
     read, left = shared_state.read_limited, [3]
 
@@ -284,27 +284,27 @@
 def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shared_state, "LOCK_TIMEOUT_S", 0.02)
     first, second = (SharedState(tmp_path, "n0", lambda before, now: None) for _ in range(2))
-    with first.locked(), pytest.raises(TimeoutError):
-        second.change(lambda shared: shared.without("s-1"))
-    assert not second.shared.cordoned
-    second.change(lambda shared: shared.without("s-1"))
-    assert second.shared.cordoned == {"s-1"}
+    with first.exclusive_lock(), pytest.raises(TimeoutError):
+        second.apply_change(lambda state: state.with_cordoned("s-1"))
+    assert not second.state.cordoned
+    second.apply_change(lambda state: state.with_cordoned("s-1"))
+    assert second.state.cordoned == {"s-1"}
 
 
 def test_processes_see_each_other_and_nodes_of_other_names_do_not(tmp_path: Path) -> None:
     first, second, other = (SharedState(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
     first.start()
     other.start()
-    assert not first.others and not other.others
+    assert not first.others_running and not other.others_running
     second.start()
-    first.look()
-    assert first.others and second.others
-    first.change(lambda shared: shared.without("s-1"))
-    other.look()
-    assert not other.shared.cordoned and not other.others
+    first.refresh()
+    assert first.others_running and second.others_running
+    first.apply_change(lambda state: state.with_cordoned("s-1"))
+    other.refresh()
+    assert not other.state.cordoned and not other.others_running
     second.close()
-    first.look()
-    assert not first.others
+    first.refresh()
+    assert not first.others_running
     first.close()
     other.close()
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -75,7 +75,7 @@
     clocks = Clocks()
     clock = clocks.wall_clock()
     clocks.unix += HOUR
-    assert (clock.measure(), clock.measure()) == (HOUR, 0.0)
+    assert (clock.detect_step(), clock.detect_step()) == (HOUR, 0.0)
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
@@ -88,11 +88,11 @@
     old = SharedState(tmp_path, "n0", lambda before, shared: None)
     old.start()
     at = time.monotonic() * 1000
-    old.change(lambda shared: shared.with_back("s-1", old.stamp_return("s-1", at), set()))
+    old.apply_change(lambda state: state.with_returned("s-1", old.record_return("s-1", at), set()))
     clocks.unix += step
 
     def take(before: OperatorState, shared: OperatorState) -> None:
-        seen.extend(new.returned_at(name, unix) for name, unix in shared.returned.items())
+        seen.extend(new.return_time(name, unix) for name, unix in shared.returned.items())
 
     new = SharedState(tmp_path, "n0", take)
     new.start()
@@ -107,11 +107,11 @@
 ) -> None:
     old = SharedState(tmp_path, "n0", lambda before, shared: None)
     now = time.monotonic() * 1000
-    old.change(lambda shared: shared.with_back("s-1", old.stamp_return("s-1", now), set()))
+    old.apply_change(lambda state: state.with_returned("s-1", old.record_return("s-1", now), set()))
     old.moments_file.write_bytes(data)
     new = SharedState(tmp_path, "n0", lambda before, shared: None)
     new.start()
-    (unix,) = new.shared.returned.values()
-    assert new.returned_at("s-1", unix) == pytest.approx(now, abs=2000.0)
+    (unix,) = new.state.returned.values()
+    assert new.return_time("s-1", unix) == pytest.approx(now, abs=2000.0)
     assert "Unix times have to do" in caplog.text
     new.close()
