--- a/flaxstep/proxy/discovery.py
+++ b/flaxstep/proxy/discovery.py
@@ -66,47 +66,47 @@
 UPDATE_LOST_ERRORS = (MalformedListError, IncompleteListError, httptools.HttpParserError)
 
 
-class Objects:
+class JsonObjectReader:
     """Takes the objects out of a watch: each on a line of its own or, indented, on several."""
 
     def __init__(self) -> None:
-        self.lines = b""  # whole lines of an object that is not whole
-        self.rest = b""  # of a line
+        self.complete_lines = b""  # whole lines of an object that is not whole
+        self.partial_line = b""  # of a line
 
     @property
-    def begun(self) -> bool:
-        return bool(self.lines or self.rest)
+    def has_partial_object(self) -> bool:
+        return bool(self.complete_lines or self.partial_line)
 
     def feed(self, data: bytes) -> Iterator[Any]:
         """What has become whole; ValueError at what never can."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             if line.strip():
-                yield from self.add(line)
-            elif self.lines:
+                yield from self.add_line(line)
+            elif self.complete_lines:
                 raise ValueError("an empty line within an object")
-        if self.rest.rstrip().endswith(b"}"):  # what has come counts, also before its line ends
+        if self.partial_line.rstrip().endswith(b"}"):  # what has come counts, also before its line ends
             with suppress(ValueError):
-                value = json.loads(self.lines + self.rest)
-                self.lines = self.rest = b""
+                value = json.loads(self.complete_lines + self.partial_line)
+                self.complete_lines = self.partial_line = b""
                 yield value
 
-    def add(self, line: bytes) -> Iterator[Any]:
-        first, self.lines = not self.lines, self.lines + line + b"\n"
+    def add_line(self, line: bytes) -> Iterator[Any]:
+        first, self.complete_lines = not self.complete_lines, self.complete_lines + line + b"\n"
         if not first and not line.rstrip().endswith((b"}", b"]")):
             return  # nothing ends with it
-        text = self.lines.decode()
+        text = self.complete_lines.decode()
         try:
             value = json.loads(text)
         except json.JSONDecodeError as error:
             if error.pos < len(text.rstrip()):
                 raise
             return  # nothing but its end is missing
-        self.lines = b""
+        self.complete_lines = b""
         yield value
 
 
-class Body:
+class ResponseBody:
     """The body of one answer, taken out of its framing."""
 
     def __init__(self) -> None:
@@ -120,9 +120,9 @@
     def on_message_complete(self) -> None:
         self.complete = True
 
-    async def more(self, reader: asyncio.StreamReader, within: float) -> None:
+    async def read_more(self, reader: asyncio.StreamReader, timeout_s: float) -> None:
         """Read on; TimeoutError if nothing comes within so many seconds."""
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             chunk = await reader.read(65536)
         if not chunk:
             raise ConnectionEndedError("the connection ended")
@@ -133,37 +133,37 @@
             raise MalformedListError("a line over the limit")
 
 
-class Call:
+class DiscoveryCall:
     """One call: a whole list, or a watch until it ends. What it shows of discovery goes to `client`."""
 
-    def __init__(self, client: Discovery, whole: bool) -> None:
+    def __init__(self, client: Discovery, full_list: bool) -> None:
         self.client = client
         self.address = client.address  # the client may move while the call is under way
-        self.whole = whole
-        self.path = MEMBERS_PATH if whole else f"{MEMBERS_PATH}?watch=1&from={client.version}"
-        self.begun = now_ms()
+        self.full_list = full_list
+        self.path = MEMBERS_PATH if full_list else f"{MEMBERS_PATH}?watch=1&from={client.version}"
+        self.started_ms = now_ms()
         self.connected = False
-        self.unfinished = False  # a part of a list has come
-        self.answered_at: float | None = None  # ms, when the first list or empty line came
-        self.waiting: asyncio.TimerHandle | None = None
+        self.partial_received = False  # a part of a list has come
+        self.answered_at_ms: float | None = None  # ms, when the first list or empty line came
+        self.waiting_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
         """DiscoveryError says how it ended, unless it was a whole list that came."""
-        ended = "cancelled"
+        outcome = "cancelled"
         try:
-            await self.exchange()
-            ended = "complete"
-            self.client.on_reach(Reach.UNWATCHED, self.begun)
+            await self.fetch_list()
+            outcome = "complete"
+            self.client.on_reach(Reach.UNWATCHED, self.started_ms)
         except (OSError, DiscoveryError, httptools.HttpParserError) as error:
-            ended = str(error) or type(error).__name__
+            outcome = str(error) or type(error).__name__
             reach = self.reach_at_end(error)
-            self.client.on_reach(reach, self.begun)
-            self.client.unanswered = reach in (Reach.RESET, Reach.UNREACHABLE)
-            raise DiscoveryError(ended) from None
+            self.client.on_reach(reach, self.started_ms)
+            self.client.last_call_unanswered = reach in (Reach.RESET, Reach.UNREACHABLE)
+            raise DiscoveryError(outcome) from None
         finally:
-            if self.waiting is not None:
-                self.waiting.cancel()
-            self.log_end(ended)
+            if self.waiting_timer is not None:
+                self.waiting_timer.cancel()
+            self.log_end(outcome)
 
     def reach_at_end(self, error: Exception) -> Reach:
         """What the end of a call tells of discovery, and no more than that."""
@@ -172,10 +172,10 @@
             if timed_out or isinstance(error, ConnectionRefusedError):
                 return Reach.UNREACHABLE
             return Reach.RESET if isinstance(error, ConnectionError) else Reach.OWN_FAILURE
-        if self.unfinished or isinstance(error, UPDATE_LOST_ERRORS):
+        if self.partial_received or isinstance(error, UPDATE_LOST_ERRORS):
             return Reach.NEWS_LOST
-        if self.answered_at is not None:
-            if self.whole:
+        if self.answered_at_ms is not None:
+            if self.full_list:
                 return Reach.UNWATCHED
             if timed_out:
                 return Reach.SILENT
@@ -184,88 +184,92 @@
             return Reach.REFUSED
         return Reach.WAITING if timed_out else Reach.RESET
 
-    def log_end(self, ended: str) -> None:
+    def log_end(self, outcome: str) -> None:
         """When a call began and what became of it: the age of the list in force follows from these lines."""
-        answered = self.answered_at
-        first = "never" if answered is None else f"after {(answered - self.begun) / 1000:.3f} s"
+        answered_at_ms = self.answered_at_ms
+        first_response = (
+            "never" if answered_at_ms is None else f"after {(answered_at_ms - self.started_ms) / 1000:.3f} s"
+        )
         log.info(
             "discovery: GET %s at %s:%d ended (%s) after %.3f s, first answered %s",
             self.path,
             *self.address,
-            ended,
-            (now_ms() - self.begun) / 1000,
-            first,
+            outcome,
+            (now_ms() - self.started_ms) / 1000,
+            first_response,
         )
 
-    async def exchange(self) -> None:
+    async def fetch_list(self) -> None:
         host, port = self.address
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
         self.connected = True
-        self.waiting = self.client.loop.call_later(
-            WAITING_NOTICE_DELAY_S, self.client.on_reach, Reach.WAITING, self.begun
+        self.waiting_timer = self.client.loop.call_later(
+            WAITING_NOTICE_DELAY_S, self.client.on_reach, Reach.WAITING, self.started_ms
         )
         try:
             writer.write(f"GET {self.path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-            await (self.read_whole(reader) if self.whole else self.read_watch(reader))
+            await (self.read_full_list(reader) if self.full_list else self.read_watch(reader))
         finally:
             writer.close()
 
-    async def read_whole(self, reader: asyncio.StreamReader) -> None:
-        body = Body()
+    async def read_full_list(self, reader: asyncio.StreamReader) -> None:
+        body = ResponseBody()
         while not body.complete:
-            await body.more(reader, RESPONSE_TIMEOUT_S)
-            self.unfinished = bool(body.data)
-        self.unfinished = False
-        with self.malformed():
-            self.take(json.loads(body.data))
+            await body.read_more(reader, RESPONSE_TIMEOUT_S)
+            self.partial_received = bool(body.data)
+        self.partial_received = False
+        with self.wrap_malformed():
+            self.apply_list(json.loads(body.data))
 
     async def read_watch(self, reader: asyncio.StreamReader) -> None:
-        body, objects, within = Body(), Objects(), RESPONSE_TIMEOUT_S
+        body, objects, timeout_s = ResponseBody(), JsonObjectReader(), RESPONSE_TIMEOUT_S
         while not body.complete:
             try:
-                await body.more(reader, within)
+                await body.read_more(reader, timeout_s)
             except TimeoutError:
-                if objects.begun:
+                if objects.has_partial_object:
                     self.client.version = None  # what the rest would have told is missed
                 raise
-            with self.malformed():
+            with self.wrap_malformed():
                 for value in objects.feed(bytes(body.data)):
-                    self.take(value)
-            if len(objects.lines) + len(objects.rest) > MAX_LIST_BYTES:
+                    self.apply_list(value)
+            if len(objects.complete_lines) + len(objects.partial_line) > MAX_LIST_BYTES:
                 raise MalformedListError("a list over the limit")
-            self.unfinished = objects.begun
-            if objects.begun:
-                within = PARTIAL_LIST_TIMEOUT_S
+            self.partial_received = objects.has_partial_object
+            if objects.has_partial_object:
+                timeout_s = PARTIAL_LIST_TIMEOUT_S
             elif body.data:
-                within = WATCH_IDLE_TIMEOUT_S
-                self.confirmed()  # also by an empty line: nothing has changed
+                timeout_s = WATCH_IDLE_TIMEOUT_S
+                self.on_confirmed()  # also by an empty line: nothing has changed
             body.data.clear()
         raise DiscoveryError("the watch ended")
 
-    def take(self, value: Any) -> None:
+    def apply_list(self, value: Any) -> None:
         client = self.client
-        client.version = client.on_list(value, self.whole)
-        if self.whole or client.version is not None:
-            self.confirmed()
+        client.version = client.on_list(value, self.full_list)
+        if self.full_list or client.version is not None:
+            self.on_confirmed()
         if client.version is None:
             raise (
-                DiscoveryError("no version") if self.whole else IncompleteListError("the list is incomplete")
+                DiscoveryError("no version")
+                if self.full_list
+                else IncompleteListError("the list is incomplete")
             )
 
-    def confirmed(self) -> None:
+    def on_confirmed(self) -> None:
         """What the node has is what discovery has."""
-        if self.answered_at is None:
-            self.answered_at = now_ms()
-            if self.waiting is not None:
-                self.waiting.cancel()
-            self.client.answered(self)
+        if self.answered_at_ms is None:
+            self.answered_at_ms = now_ms()
+            if self.waiting_timer is not None:
+                self.waiting_timer.cancel()
+            self.client.on_call_answered(self)
         if self.client.version is not None:
-            self.client.retry, self.client.failing = MIN_RETRY_DELAY_S, False
-        self.client.on_reach(Reach.CONFIRMED, self.begun)
+            self.client.retry_delay_s, self.client.failure_logged = MIN_RETRY_DELAY_S, False
+        self.client.on_reach(Reach.CONFIRMED, self.started_ms)
 
     @contextmanager
-    def malformed(self) -> Iterator[None]:
+    def wrap_malformed(self) -> Iterator[None]:
         """A change may have been missed with what can't be taken: only the whole list brings it back."""
         try:
             yield
@@ -295,52 +299,56 @@
         self.pushed = pushed
         self.on_list = on_list
         self.on_reach = on_reach
-        self.random = rng
+        self.rng = rng
         self.loop = loop
         self.version: int | None = None  # of the list in force; None: the whole list is wanted
-        self.retry = MIN_RETRY_DELAY_S
-        self.failing = False
-        self.unanswered = False  # the latest call: refused or reset
-        self.calls: dict[asyncio.Task[None], Call] = {}  # under way
-        self.one_answers = False
+        self.retry_delay_s = MIN_RETRY_DELAY_S
+        self.failure_logged = False
+        self.last_call_unanswered = False  # the latest call: refused or reset
+        self.calls: dict[asyncio.Task[None], DiscoveryCall] = {}  # under way
+        self.call_answered = False
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """The next call goes there. What failed at the old address is no reason to wait."""
-        self.address, self.retry, self.failing = address, MIN_RETRY_DELAY_S, False
+        self.address, self.retry_delay_s, self.failure_logged = address, MIN_RETRY_DELAY_S, False
         for task in self.calls:
             task.cancel()  # what still comes from the old address confirms nothing
 
     async def run(self) -> None:
         while True:
             try:
-                await self.follow()
+                await self.run_calls()
                 continue
             except DiscoveryError as error:
-                if not self.failing:  # one line for each stretch of failures
+                if not self.failure_logged:  # one line for each stretch of failures
                     log.warning("discovery: %s; the list stays as it is", error)
-                self.failing = True
+                self.failure_logged = True
             except Exception:
                 # Whatever it was: a watch that dies of it would leave the node with its old list for ever.
                 log.exception("discovery: unforeseen failure; the whole list is fetched")
                 self.version = None
             # Nodes that lost discovery together must not come back together.
-            await asyncio.sleep(self.retry * (0.5 + self.random.random()))
-            most = MAX_RETRY_DELAY_PUSHED_S if self.pushed and self.unanswered else MAX_RETRY_DELAY_S
-            self.retry = min(2 * self.retry, most)
+            await asyncio.sleep(self.retry_delay_s * (0.5 + self.rng.random()))
+            max_delay_s = (
+                MAX_RETRY_DELAY_PUSHED_S if self.pushed and self.last_call_unanswered else MAX_RETRY_DELAY_S
+            )
+            self.retry_delay_s = min(2 * self.retry_delay_s, max_delay_s)
 
-    async def follow(self) -> None:
+    async def run_calls(self) -> None:
         """Fetch the whole list, or watch until the watch ends; with a second call beside one that hangs."""
-        self.one_answers = False
-        self.begin_call()
-        second = False
+        self.call_answered = False
+        self.start_call()
+        second_started = False
         failure: BaseException | None = None
         try:
             while self.calls:
-                within = None if second or self.one_answers else SECOND_CALL_DELAY_S
-                done, _ = await asyncio.wait(self.calls, timeout=within, return_when=asyncio.FIRST_COMPLETED)
-                if not done and not self.one_answers:
-                    second = True
-                    self.begin_call()
+                timeout_s = None if second_started or self.call_answered else SECOND_CALL_DELAY_S
+                done, _ = await asyncio.wait(
+                    self.calls, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
+                )
+                if not done and not self.call_answered:
+                    second_started = True
+                    self.start_call()
                 for task in done:
                     del self.calls[task]
                     if not task.cancelled():
@@ -352,13 +360,13 @@
         if failure is not None:
             raise failure
 
-    def begin_call(self) -> None:
-        call = Call(self, self.version is None)
+    def start_call(self) -> None:
+        call = DiscoveryCall(self, self.version is None)
         self.calls[self.loop.create_task(call.run())] = call
 
-    def answered(self, answering: Call) -> None:
+    def on_call_answered(self, answered_call: DiscoveryCall) -> None:
         """One call is answered: the others are of no more use."""
-        self.one_answers = True
+        self.call_answered = True
         for task, call in self.calls.items():
-            if call is not answering:
+            if call is not answered_call:
                 task.cancel()
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -613,7 +613,7 @@
         if address == self.discovery.address:
             return
         log.info("discovery moves to %s:%d", *address)
-        self.discovery.move(address)
+        self.discovery.change_address(address)
         if self.discovery_task is not None:
             self.discovery_task.cancel()
             self.discovery_task = self.loop.create_task(self.discovery.run())
