--- a/flaxstep/proxy/member_list.py
+++ b/flaxstep/proxy/member_list.py
@@ -95,7 +95,7 @@
         if from_watch and (version is None or not all(map(self._has_instance_id, instances))):
             kind, version = ListKind.DELTA, None
         endpoints = [
-            endpoint for instance in instances if (endpoint := self._read_endpoint(instance)) is not None
+            parsed for instance in instances if (parsed := self._read_endpoint(instance)) is not None
         ]
         # Of entries that name one endpoint twice the last one counts.
         latest_by_id = {endpoint.entry.id: endpoint for endpoint in endpoints}
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -1,7 +1,7 @@
-"""The join: turns what happens on the sockets into events, and the module's actions into what is done.
+"""Connects the network side of a node with its routing policy.
 
-It decides nothing. Actions are carried out in the order in which the module gives them; events that
-arise meanwhile wait for their turn.
+Network events become events of the policy, and the policy's actions are carried out in the order in which it
+returns them; events that occur meanwhile are queued. No routing decision is made here.
 """
 
 from __future__ import annotations
@@ -62,54 +62,54 @@
     Withdrawn,
 )
 
-# ms kept back from a client's time, for the way there. Clients may give only 40 ms in all, and a final answer
-# from a late loop has the rule's slack besides.
+# Subtracted from a client's timeout for the way back to it. Clients may give only 40 ms in all, and the rule
+# on final responses allows some slack for a late event loop besides.
 CLIENT_TIMEOUT_MARGIN_MS = 10.0
-RESERVED_DESCRIPTORS = (
-    64  # descriptors for listeners, discovery, files, callers, and connections that are closing
-)
-BODY_MEMORY_DIVISOR = 8  # the part of the memory that bodies in hand may take: one in so many
-CACHED_LIST_WAIT_S = 1.0  # s that a process with a list from before waits for a discovery that is down
-MAX_STARTUP_WAIT_S = 5.0  # s after which it says that it is ready, whatever discovery does
-ACCEPT_AFTER_SIGTERM_S = 0.6  # s after SIGTERM during which new connections are accepted
-READ_AFTER_SIGTERM_S = (
-    0.7  # s after SIGTERM in which requests still come: SIGKILL follows a deadline and this long after
-)
-MAX_DRAIN_S = 60.0  # s after SIGTERM at which the node ends though a client still has not taken its answer
-SHARED_STATE_POLL_S = 0.1  # s between looks at what another process of this node has written
-MAX_LISTEN_RETRY_S = (
-    8.0  # s from the start for which the node tries to listen: it has to be ready within 10 s
-)
-LISTEN_RETRY_DELAY_S = 0.1  # s between those tries
+# For listeners, discovery, files, admin connections, and connections that are closing.
+RESERVED_DESCRIPTORS = 64
+BODY_MEMORY_DIVISOR = 8  # buffered bodies may use one eighth of the memory limit
+CACHED_LIST_WAIT_S = 1.0  # for discovery, if the node has a list from before its restart
+MAX_STARTUP_WAIT_S = 5.0  # the node reports that it is ready after this, even without discovery
+ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections are accepted for this long
+# Requests are read for this long after SIGTERM. SIGKILL may follow this time plus the longest deadline.
+READ_AFTER_SIGTERM_S = 0.7
+MAX_DRAIN_S = 60.0  # after SIGTERM: the node exits even if a client has not read its response
+SHARED_STATE_POLL_S = 0.1
+MAX_LISTEN_RETRY_S = 8.0  # from the start: the node has to be ready within 10 s
+LISTEN_RETRY_DELAY_S = 0.1
 RESOURCE_SHORTAGE_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN})
-MAX_LOGGED_ENDPOINTS = 4  # endpoints that a line about a list names
-DRAIN_POLL_S = 0.02  # s between looks whether all clients are answered
+MAX_LOGGED_ENDPOINTS = 4  # in the log line about a list
+DRAIN_POLL_S = 0.02
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request whose final response has not been sent completely."""
 
     client: ClientConnection
     message: ForwardedRequest
     cls: int
-    deadline: float  # while its body comes: the latest that it can become
-    timeout_ms: float  # ms that the client gives from the last byte of its request
-    uploading: bool = False  # its body still comes: it is not taken yet
+    deadline: float  # monotonic ms; while the body is uploaded, its upper bound
+    timeout_ms: float  # given by the client, from the last byte of its request
+    uploading: bool = False  # the body has not been received completely
     attempt_count: int = 0
-    streaming_attempt: Attempt | None = None  # whose answer is passed on as it comes
+    streaming_attempt: Attempt | None = None  # whose response is streamed to the client
 
 
 def connection_limits(sockets: int) -> tuple[int, int]:
-    """Connections of clients and to servers. A third for servers: few requests are in flight at once, but
-    clients keep what they have opened."""
+    """Return the maximum numbers of client connections and of server connections.
+
+    Servers get a third: few requests are in flight at a time, but clients keep their connections open.
+    """
     left = sockets - min(RESERVED_DESCRIPTORS, sockets // 4)
     return left - left // 3, left // 3
 
 
 class Node:
+    """One node: its listeners, its connections to servers and discovery, and its routing policy."""
+
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
@@ -119,13 +119,13 @@
         self.last_id = 0
         self.events: deque[Event] = deque()
         self.dispatching = False
-        self.healthy = False  # a list has come
-        self.quiesced = self.stopping = False  # the two ways to drain: by hand, and for good
+        self.healthy = False  # a server list has been read
+        self.quiesced = self.stopping = False  # drained by an operator; shutting down
         self.client_listener: asyncio.Server | None = None
         self.admin_listener: asyncio.Server | None = None
         self.discovery_task: asyncio.Task[None] | None = None
-        self.listed_servers: set[int] = set()  # servers in the list
-        self.list_confirmed = asyncio.Event()  # discovery has given a list
+        self.listed_servers: set[int] = set()  # by id
+        self.list_confirmed = asyncio.Event()  # discovery has confirmed the list once
         self.started_at = loop.time()
         clients, servers = connection_limits(config.sockets)
         self.metrics = Metrics(name.decode("latin-1") for name in config.classes)
@@ -156,18 +156,18 @@
         }
         self.shared_state = SharedState(config.shared, config.name, self.on_operator_state_change)
         if config.admin is not None:
-            self.shared_state.start()  # before the list: who is out must not be sent anything
+            self.shared_state.start()  # before the list: nothing may be sent to cordoned servers
         self.dispatch_event(DiscoveryReach(Reach.STARTED))
         if config.known.get("instances"):
             try:
                 self.discovery.version = self.apply_list(config.known, ListKind.CACHED)
             except ValueError as error:
-                log.warning("the known list is malformed: %s", error)
+                log.warning("the server list in the configuration is malformed: %s", error)
 
-    # Events in, actions out.
+    # Events to the policy, and its actions.
 
     def dispatch_event(self, event: Event) -> None:
-        """Give the policy an event, after those that wait already."""
+        """Pass an event to the policy, after the events that are queued, and carry out its actions."""
         self.events.append(event)
         if self.dispatching:
             return
@@ -179,7 +179,7 @@
                     for action in self.policy.handle(now_ms(), event):
                         self.action_handlers[type(action)](action)
                 except Exception:
-                    # One request must not take the node down with it; it still is owed an answer.
+                    # A failure on one request must not end the node, and the request still needs a response.
                     log.exception("the policy failed on %s", type(event).__name__)
                     if isinstance(event, Request | Outcome):
                         self.send_final_response(event.id, 500)
@@ -223,7 +223,7 @@
             pending.client.answer(status, extra=extra)
 
     def remove_request(self, request_id: int) -> PendingRequest | None:
-        """Nothing is owed any more, and no connection that still comes up carries the request."""
+        """Remove a request that is over, with those of its attempts that still wait for a connection."""
         pending = self.pending_requests.pop(request_id, None)
         if pending is not None:
             for number in range(pending.attempt_count):
@@ -234,18 +234,19 @@
         self.pool.cancel(action.id, action.attempt)
 
     def schedule_timer(self, action: Wake) -> None:
-        # Rounded up: a timer that rings early finds nothing due and would be set again at once.
+        # Rounded up: a timer that fires too early finds nothing due, and would be set again at once.
         self.loop.call_later(math.ceil(action.delay) / 1000, self.dispatch_event, Timer(action.token))
 
     def log_text(self, action: Log) -> None:
         log.info("%s", action.text)
 
     def ignore_subscribe(self, action: Subscribe) -> None:
-        """Nothing to do: the node watches the list from its start."""
+        """Nothing to do: the node watches the server list from its start."""
 
-    # From clients.
+    # Client connections: calls of the listener.
 
     def accept_request(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Register a request and pass it to the policy."""
         self.last_id += 1
         request_id = client.request_id = self.last_id
         upload = request.message.upload
@@ -273,23 +274,26 @@
         )
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
+        """The request's body has been received completely: its deadline is known from now on."""
         pending = self.pending_requests.get(request_id)
         if pending is None:
             return
         pending.uploading = False
-        if pending.streaming_attempt is None:  # else its answer has begun already
+        if pending.streaming_attempt is None:  # otherwise its response is streamed already
             pending.deadline = now_ms() + pending.timeout_ms - CLIENT_TIMEOUT_MARGIN_MS
             self.dispatch_event(Uploaded(request_id, pending.deadline))
 
     def client_gone(self, request_id: int) -> None:
+        """The client has closed its connection before the response was complete."""
         pending = self.remove_request(request_id)
         if pending is None:
             return
         self.dispatch_event(Withdrawn(request_id))
-        if pending.streaming_attempt is not None:  # its answer is the client's: with the client it ends
+        if pending.streaming_attempt is not None:  # its response has no other receiver
             self.pool.abort_attempt(pending.streaming_attempt, Result.CANCELLED)
 
     def pause_response(self, request_id: int, paused: bool) -> None:
+        """Stop reading a streamed response while the client reads nothing, or read on."""
         pending = self.pending_requests.get(request_id)
         if (
             pending is not None
@@ -298,9 +302,10 @@
         ):
             pending.streaming_attempt.connection.pause_reading_response(paused)
 
-    # From servers.
+    # Server connections: calls of the pool.
 
     def attempt_ended(self, attempt: Attempt, result: Result, response: ServerResponse | None) -> None:
+        """Finish the request if this attempt has its response, and report the outcome to the policy."""
         request_id, pending = attempt.request_id, self.pending_requests.get(attempt.request_id)
         if pending is not None and pending.streaming_attempt is attempt:
             del self.pending_requests[request_id]
@@ -334,8 +339,9 @@
         )
 
     def response_started(self, attempt: Attempt, content_length: int | None, content_type: bytes) -> None:
+        """Start streaming a response to the client."""
         request_id, pending = attempt.request_id, self.pending_requests.get(attempt.request_id)
-        if pending is None:  # it is over: nobody waits for the answer
+        if pending is None:  # the request is over
             self.pool.abort_attempt(attempt, Result.CANCELLED)
             return
         pending.streaming_attempt = attempt
@@ -344,24 +350,27 @@
         pending.client.begin_response(content_length, content_type)
 
     def response_chunk(self, attempt: Attempt, chunk: bytes) -> None:
+        """Pass a chunk of a streamed response to the client."""
         pending = self.pending_requests.get(attempt.request_id)
         if pending is not None:
             pending.client.write_response_chunk(chunk)
 
-    # From discovery.
+    # Discovery.
 
     def on_list(self, raw: Any, whole: bool) -> int | None:
-        """Take over what a call has brought: its version. ValueError, and nothing taken, if it is no list."""
+        """Apply a list from discovery and return its version. ValueError, and no change, if it is no list."""
         return self.apply_list(raw, ListKind.FULL if whole else None)
 
     def apply_list(self, raw: Any, kind: ListKind | None) -> int | None:
+        """Apply a list to the pool, the policy and the metrics; see on_list."""
         members = self.list_reader.read(raw, kind)
         endpoints = members.endpoints
-        # The pool first hears of who is new: the module may send to them while it is told.
+        # New servers are added to the pool first: the policy may send to them while it handles the list.
         for endpoint in endpoints:
             if endpoint.entry.state is State.READY and endpoint.entry.id not in self.pool.servers:
                 self.update_endpoint(endpoint)
-        # Then the module: what it sends on because of the list must not go to whom the list takes out.
+        # The policy gets the list before the pool removes or changes servers: that ends attempts, and the
+        # policy must not retry them on servers that this list removes.
         self.dispatch_event(
             ServerList(members.kind, members.version or 0, [each.entry for each in endpoints])
         )
@@ -386,6 +395,7 @@
         return members.version
 
     def update_endpoint(self, endpoint: Endpoint) -> None:
+        """Update one endpoint in the pool."""
         entry = endpoint.entry
         self.pool.update(entry.id, endpoint.address, entry.state, entry.started)
 
@@ -398,23 +408,24 @@
         log.info("list %s, %s: %s%s", version, members.kind.name.lower(), changes, more)
 
     def on_reach(self, reach: Reach, since: float) -> None:
-        """How the connection to discovery stands: for how long the list may be routed by is the module's."""
+        """Pass on the state of the connection to discovery: the policy decides how long the list is valid."""
         if reach is Reach.CONFIRMED:
             self.list_confirmed.set()
         lease, now = self.policy.lease, now_ms()
         was_valid, before = lease.valid(now), lease.expires - now
         self.dispatch_event(DiscoveryReach(reach, since))
         left = lease.expires - now
-        if (
-            reach is not Reach.CONFIRMED or not was_valid
-        ):  # a line for each beat of a watch would hide the rest
+        # No line for each confirmation: a watch sends one with every heartbeat.
+        if reach is not Reach.CONFIRMED or not was_valid:
             log.info("list lease: %s; %.3f s left, %.3f before", reach.value, left / 1000, before / 1000)
         if was_valid != lease.valid(now_ms()):
             log.info(
-                "the list %s: discovery is %s", "has run out" if was_valid else "holds again", reach.value
+                "server list %s (%s)",
+                "expired: requests are refused until discovery confirms it" if was_valid else "valid again",
+                reach.value,
             )
 
-    # From operators.
+    # Operators: calls of the admin server.
 
     def admin_calls(self) -> dict[bytes, tuple[bytes, Callable[[bytes], Reply]]]:
         return {
@@ -437,9 +448,9 @@
 
     @property
     def list_wait_over(self) -> bool:
-        """Whether a list from before a restart has been confirmed, or there is no waiting for that any more.
+        """Whether the node need not wait any longer for discovery to confirm the list from before a restart.
 
-        Where lists are pushed, what discovery has counts as told from a process's first moment.
+        If lists are pushed, changes in discovery count as notified from the start of a process.
         """
         if self.config.settings.ask_for_list or self.list_confirmed.is_set():
             return True
@@ -465,15 +476,17 @@
 
     def report_servers(self, _: bytes) -> Reply:
         outstanding = Counter(attempt.server.id for attempt in self.pool.attempts.values())
-        self.shared_state.refresh()  # the other process may have been called
+        self.shared_state.refresh()  # the call may have gone to the other process
         return 200, self.server_metrics.report(outstanding, self.shared_state.state.cordoned)
 
     def cordon(self, body: bytes) -> Reply:
+        """Send nothing new to the server that the body names, until it is uncordoned."""
         return self.change_operator_state(
             body, "cordoned", lambda state, name: state.with_cordoned(name), self.shared_state.cordon_unsaved
         )
 
     def uncordon(self, body: bytes) -> Reply:
+        """Use the server again. It counts as restarted now, so it starts cold."""
         now = now_ms()
 
         def edit(state: OperatorState, name: str) -> OperatorState:
@@ -487,7 +500,7 @@
             }
             return state.with_returned(name, self.shared_state.record_return(name, now), forget)
 
-        return self.change_operator_state(body, "serves again", edit)
+        return self.change_operator_state(body, "uncordoned", edit)
 
     def change_operator_state(
         self,
@@ -496,15 +509,15 @@
         edit: Callable[[OperatorState, str], OperatorState],
         on_save_failure: Callable[[str], None] | None = None,
     ) -> Reply:
-        """Carry a call out; `not_kept` is told the server's name if the change can't be written down."""
+        """Apply a call of an operator; `on_save_failure` gets the server's name if it can't be saved."""
         try:
             name = body.decode().strip()
         except UnicodeDecodeError:
-            return 400, "the body is no server's id"
+            return 400, "the body is not UTF-8 text"
         if not name:
-            return 400, "the body must be a server's id"
-        self.shared_state.refresh()  # the other process may have been called first
-        # One that restarts may be missing from the list just now: who is out is known all the same.
+            return 400, "the body must be the id of a server"
+        self.shared_state.refresh()  # the other process may have changed it
+        # A server that restarts may be missing from the list, but can still be uncordoned.
         if (
             stable_id(name.encode()) not in self.listed_servers
             and name not in self.shared_state.state.cordoned
@@ -513,15 +526,15 @@
         try:
             self.shared_state.apply_change(lambda state: edit(state, name))
         except OSError as error:
-            log.warning("%s: not %s: %s", name, result, error)
+            log.warning("server %s can't be saved as %s: %s", name, result, error)
             if on_save_failure is None:
-                return 503, f"not kept, so not done: {error}"
+                return 503, f"not saved, so not changed: {error}"
             on_save_failure(name)
-            return 503, f"out here and not kept yet: {error}"
+            return 503, f"cordoned in this process, not saved yet: {error}"
         return 200, f"{name} {result}"
 
     def on_operator_state_change(self, old: OperatorState, new: OperatorState) -> None:
-        """What operators have said here or at another process holds from now on."""
+        """Apply the changes of operators, made at this process or at another one of this node."""
         for name in sorted(new.cordoned - old.cordoned):
             server_id = stable_id(name.encode())
             log.info("%s is out", name)
@@ -535,17 +548,21 @@
                 )
 
     def poll_shared_state(self) -> None:
+        """Read the shared state at regular intervals, and adjust the limits when a process comes or goes."""
         self.loop.call_later(SHARED_STATE_POLL_S, self.poll_shared_state)
         had_others = self.shared_state.others_running
         self.shared_state.refresh()
         if self.shared_state.others_running != had_others:
             log.info(
-                "the node is %s", "two processes" if self.shared_state.others_running else "one process again"
+                "%s",
+                "another process of this node is running: each uses half of the limits"
+                if self.shared_state.others_running
+                else "this is the node's only process again",
             )
             self.update_limits()
 
     def update_limits(self) -> None:
-        """Two processes are one node: each keeps to half of what it may hold."""
+        """Set the memory and connection limits: with two processes, each uses half of the node's."""
         process_count = 2 if self.shared_state.others_running else 1
         self.body_budget.budget = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // process_count
         clients, servers = connection_limits(self.config.sockets // process_count)
@@ -553,16 +570,17 @@
         self.pool.set_limit(servers)
 
     def quiesce(self, _: bytes) -> Reply:
-        """Empty the node: its clients come back elsewhere. What is held and what still comes is served."""
+        """Drain the node: its clients reconnect elsewhere. Pending and new requests are still served."""
         if not self.quiesced:
             self.quiesced = True
-            log.info("quiesced: %d requests held", len(self.pending_requests))
+            log.info("quiesced: %d requests pending", len(self.pending_requests))
             self.listener.close_idle()
         return 200, "quiesced"
 
     def resume(self, _: bytes) -> Reply:
+        """End the drain that quiesce began."""
         if self.stopping:
-            return 409, "stopping: there is no way back"
+            return 409, "stopping: the node can't resume"
         if self.quiesced:
             self.quiesced = False
             log.info("resumed")
@@ -571,20 +589,21 @@
     # Start and stop.
 
     async def start(self) -> None:
+        """Start the admin server, discovery and the client listener."""
         if self.config.admin is not None:
             admin_server, address = AdminServer(self.loop, self.admin_calls()), self.config.admin
             self.admin_listener = await self.listen_with_retry(lambda: admin_server.start(address))
             self.poll_shared_state()
         self.discovery_task = self.loop.create_task(self.discovery.run())
         while not self.shared_state.fully_read and self.loop.time() - self.started_at < MAX_STARTUP_WAIT_S:
-            await asyncio.sleep(SHARED_STATE_POLL_S)  # who is out may stand there
+            await asyncio.sleep(SHARED_STATE_POLL_S)  # it may hold cordons
         if self.shared_state.others_running:
             await self.wait_for_list()
         self.client_listener = await self.listen_with_retry(self.listener.start)
         log.info("%s listens on %s:%d", self.config.name, *self.client_listener.sockets[0].getsockname()[:2])
 
     async def listen_with_retry(self, listen: Callable[[], Awaitable[asyncio.Server]]) -> asyncio.Server:
-        """Listen, and try again while the system is short of what that takes."""
+        """Call `listen` again while it fails for a shortage of system resources."""
         while True:
             try:
                 return await listen()
@@ -598,48 +617,49 @@
             await asyncio.sleep(LISTEN_RETRY_DELAY_S)
 
     async def wait_for_list(self) -> None:
-        """While the old process serves, nothing may come to this one that it can't serve as well."""
+        """Listen only once this process can serve as well as the old one, which still serves."""
         self.update_limits()
         with suppress(TimeoutError):
             async with asyncio.timeout(CACHED_LIST_WAIT_S if self.healthy else None):
                 await self.list_confirmed.wait()
 
     def mark_discovery_moved(self) -> None:
-        """SIGHUP: the time in which the old address tells anything runs from now, readable file or not."""
+        """SIGHUP: from now on the old address serves for a fixed time, even if the file can't be read yet."""
         self.on_reach(Reach.MOVED, now_ms())
 
     def move_discovery(self, address: Address) -> None:
-        """Follow the list at another address from now on; the version held says where to go on."""
+        """Watch the list at another address from now on, starting from the version that the node has."""
         if address == self.discovery.address:
             return
-        log.info("discovery moves to %s:%d", *address)
+        log.info("discovery address changed to %s:%d", *address)
         self.discovery.change_address(address)
         if self.discovery_task is not None:
             self.discovery_task.cancel()
             self.discovery_task = self.loop.create_task(self.discovery.run())
 
     async def drain(self) -> None:
-        """Take what still comes, answer all that is held, then end."""
+        """Accept what still arrives for a while, answer all pending requests, then close."""
         self.stopping, started = True, self.loop.time()
-        log.info("stopping: %d requests held", len(self.pending_requests))
+        log.info("stopping: %d requests pending", len(self.pending_requests))
         if self.client_listener is not None:
             self.listener.close_idle()
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.listener.stop()
-        # Whoever has not sent its whole request by then can't have its time before SIGKILL may come.
+        # A request that is incomplete by then might not reach its deadline before SIGKILL.
         await self.wait_until_empty(started + READ_AFTER_SIGTERM_S)
         self.listener.turn_away()
         await self.wait_until_empty(started + MAX_DRAIN_S)
-        self.close()  # the list is followed to the end: what is held may still be sent again
+        self.close()  # the list is watched until here, as pending requests may be retried
         log.info("stopped")
 
     async def wait_until_empty(self, until: float) -> None:
-        """Wait until all clients have their answers and have closed, or until then by the loop's clock."""
+        """Wait until all client connections are closed, at most until this time of the loop's clock."""
         while self.listener.occupied and self.loop.time() < until:
             self.listener.close_idle()
             await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self) -> None:
+        """Close the listeners and stop watching discovery."""
         for server in (self.client_listener, self.admin_listener):
             if server is not None:
                 server.close()
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -1,4 +1,4 @@
-"""The way to the servers: pooled connections, attempts on them, and how each attempt ended."""
+"""Connections to job servers: a pool for each endpoint, the attempts sent on them, and their results."""
 
 from __future__ import annotations
 
@@ -18,42 +18,43 @@
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Result, State
 
-UNSIZED_BODY_DELAY_S = 0.025  # s for which an answer of unknown length is held, in case that it is short
-REQUEST_WRITE_TIMEOUT_S = 5.0  # s without taking a byte of a request after which a server gets no more of it
-RESPONSE_READ_TIMEOUT_S = 15.0  # s without a byte of an answer that is passed on after which it is given up
-IDLE_TIMEOUT_MARGIN_MS = (
-    2000.0  # ms before the server's own limit: its close must not cross a request of ours
-)
-# ms before a connection is used again: a second answer to the request before, which some servers send some
-# milliseconds late, would pass for the next one's. Seen up to 4.6 ms late, so twice that.
+# A response without a length is buffered for this long: if it ends in that time, it is sent with its length.
+UNSIZED_BODY_DELAY_S = 0.025
+REQUEST_WRITE_TIMEOUT_S = 5.0  # for a server that reads no more of a request's body
+RESPONSE_READ_TIMEOUT_S = 15.0  # without a byte of a response that is being streamed to the client
+# Connections are closed this long before the server's own idle timeout, so that its close does not cross a
+# request of the node.
+IDLE_TIMEOUT_MARGIN_MS = 2000.0
+# A connection is not reused before this: a second response to the previous request, which some servers send a
+# few milliseconds late, would be taken for the response to the next one. Seen up to 4.6 ms late.
 CONNECTION_REUSE_DELAY_MS = 10.0
-IDLE_SWEEP_INTERVAL_S = 1.0  # s between looks for connections that have been idle for too long
-IDLE_BUCKETS_MS = (50.0, 75.0, 100.0, 150.0, 200.0, 300.0, 400.0, 800.0, 1600.0)  # ms idle, to tell resets by
-MIN_IDLE_RESETS, IDLE_RESET_RATE_MARGIN = (
-    3.0,
-    0.2,
-)  # resets, and how much more often than others, that tell
-# Why a connection is closed at once, whatever its buffer holds.
+IDLE_SWEEP_INTERVAL_S = 1.0
+# Upper bounds of the idle times by which resets of reused connections are counted.
+IDLE_BUCKETS_MS = (50.0, 75.0, 100.0, 150.0, 200.0, 300.0, 400.0, 800.0, 1600.0)
+# The idle limit is lowered to a bound if at least so many connections that were idle for longer were reset,
+# and at a rate that exceeds that of the others by this margin.
+MIN_IDLE_RESETS, IDLE_RESET_RATE_MARGIN = 3.0, 0.2
+# Causes for which a connection is aborted at once, without sending what is left in its write buffer.
 ABORT_CAUSES = frozenset({"bytes_unasked", "makes_room", "came_up_late", "endpoint_changed_while_connecting"})
-IDLE_STATS_HALF_LIFE_SWEEPS = 5  # sweeps after which what was seen counts half
+IDLE_STATS_HALF_LIFE_SWEEPS = 5
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A request as it goes on: all but its time-out, which each attempt writes anew."""
+    """A request as it is forwarded, without its Request-Timeout header: each attempt writes its own."""
 
-    head: bytes  # request line and header lines, but for the length
+    head: bytes  # request line and header lines, without Content-Length and Transfer-Encoding
     body: bytes
-    has_body: bool = False  # has a body, maybe an empty one
-    upload: Upload | None = None  # what the body comes from where it is not held whole
-    request_id: bytes = b""  # the client's, for the log
+    has_body: bool = False  # the body may be empty
+    upload: Upload | None = None  # streams the body, if it is not buffered as a whole
+    request_id: bytes = b""  # the client's Request-Id, for the log
 
 
 @dataclass(slots=True)
 class ServerResponse:
-    """A server's whole answer."""
+    """A complete response of a server."""
 
     status: int
     body: bytes
@@ -62,49 +63,56 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt to have a server answer a request. Times are in ms of the monotonic clock."""
+
     request_id: int
     number: int
     server: EndpointConnections
-    version: int  # of the server's entry when the attempt was decided
+    version: int  # of `server` when the attempt was created
     message: ForwardedRequest
     started: float
     deadline: float
-    send_before: float  # clock time from which it may not go out any more
+    send_before: float  # the request must not be sent at this time or later
     timeout_timer: asyncio.TimerHandle | None = None
-    connection_wait: asyncio.Task[None] | asyncio.TimerHandle | None = None  # until it has its connection
-    reserved_connection: ServerConnection | None = None  # the one that it waits for
+    connection_wait: asyncio.Task[None] | asyncio.TimerHandle | None = (
+        None  # what it waits for until it has a connection
+    )
+    reserved_connection: ServerConnection | None = None  # idle, and to be used after the reuse delay
     connection: ServerConnection | None = None
-    request_written: bool = False  # whole: from now on it may have run
-    streaming: bool = False  # its answer is passed on as it comes
+    request_written: bool = False  # completely: the server may have run it
+    streaming: bool = False  # its response is streamed to the client
 
 
 @dataclass(slots=True, eq=False)
 class EndpointConnections:
-    """A server at its address. The version counts changes after which old connections are not used."""
+    """A server's address, state and idle connections.
+
+    `version` is incremented by each change that makes connections opened before it unusable.
+    """
 
     id: int
     address: Address
     state: State
     started: float
     version: int = 0
-    idle: list[ServerConnection] = field(default_factory=list)  # the most recently used last
+    idle: list[ServerConnection] = field(default_factory=list)  # ordered by idle_since
 
 
 class IdleLimit:
-    """How long a connection may stand idle and still be used: servers may end it sooner than they say.
+    """How long a connection may be idle and still be reused: servers may close it sooner than configured.
 
-    Where connections that stood idle for longer than a step are reset clearly more often than the others,
-    they are not used again until that has been forgotten.
+    If connections that were idle for longer than a bucket's bound are reset clearly more often than the
+    others, that bound is the limit, until decay has removed the evidence.
     """
 
     def __init__(self, max_ms: float) -> None:
         self.max_ms = self.limit_ms = max_ms
-        self.uses = [0.0] * (len(IDLE_BUCKETS_MS) + 1)  # by the idle time before
+        self.uses = [0.0] * (len(IDLE_BUCKETS_MS) + 1)  # by bucket of the idle time before the use
         self.resets = self.uses[:]
         self.sweeps = 0
 
     def record_use(self, idle_ms: float, reset: bool) -> None:
-        """How an attempt on a used connection ended."""
+        """Record how the use of a connection that had been idle ended."""
         bucket = bisect(IDLE_BUCKETS_MS, idle_ms)
         self.uses[bucket] += 1
         if reset:
@@ -112,6 +120,7 @@
             self.update_limit()
 
     def update_limit(self) -> None:
+        """Set the limit to the lowest bound above which resets are clearly more frequent."""
         for i, bucket_ms in enumerate(IDLE_BUCKETS_MS, 1):
             resets, uses = sum(self.resets[i:]), sum(self.uses[i:])
             others = sum(self.resets[:i]) / max(sum(self.uses[:i]), 1.0)
@@ -121,6 +130,7 @@
         self.limit_ms = self.max_ms
 
     def on_sweep(self) -> None:
+        """Halve the counts at regular intervals, so that old evidence loses weight."""
         self.sweeps += 1
         if self.sweeps % IDLE_STATS_HALF_LIFE_SWEEPS == 0:
             self.uses = [count / 2 for count in self.uses]
@@ -129,7 +139,7 @@
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """One connection; it carries one attempt at a time."""
+    """One connection to a server. It serves one attempt at a time."""
 
     transport: asyncio.Transport
 
@@ -139,27 +149,27 @@
         self.version = server.version
         self.attempt: Attempt | None = None
         self.idle_since = 0.0
-        self.idle_before_ms: float | None = None  # ms before the attempt under way; None: it is the first
+        self.idle_before_ms: float | None = None  # None: its first attempt
         self.parser = httptools.HttpResponseParser(self)
-        self.buffered_body: list[bytes] = []  # of the answer's body, as far as they are held
+        self.buffered_body: list[bytes] = []  # chunks not yet passed on
         self.body_size = 0
-        self.content_length: int | None = None  # of the answer's body, if a header tells it
-        self.transfer_coding = b""  # its transfer coding
-        self.counted_in_budget = False  # among the bodies in hand
+        self.content_length: int | None = None  # None: not given by the server
+        self.transfer_coding = b""
+        self.counted_in_budget = False  # as one of the bodies that share body_budget
         self.not_started = False
         self.content_type = b""
-        self.head_received = False  # the final answer's head has come
+        self.head_received = False  # of the final response, not of an interim one
         self.response_complete = False
-        self.response_begun = False  # a byte of the answer has come
-        self.last_read_ms = 0.0  # when the latest bytes came
-        self.reading_paused = False  # the client takes no more for now
+        self.response_begun = False  # at least one byte has been received
+        self.last_read_ms = 0.0
+        self.reading_paused = False  # while the client reads nothing
         self.keep_alive = False
-        self.unexpected_bytes = False  # bytes came after the answer
+        self.unexpected_bytes = False  # received after the end of the response
         self.unsized_body_timer: asyncio.TimerHandle | None = None
         self.write_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        # No isinstance check: uvloop's transports don't derive from asyncio's. They have TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
         self.socket_poll = unread_poll(transport.get_extra_info("socket").fileno())
 
@@ -170,18 +180,18 @@
         if self.attempt is None:
             return
         if exc is None and self.head_received and self.content_length is None and not self.transfer_coding:
-            self.response_complete = True  # an answer that only the end of its connection ends
+            self.response_complete = True  # such a response ends with its connection
             self.finish_response()
             return
-        # A request that was given whole to the transport may have run: what its buffer held is no proof that
-        # the server did not get it.
+        # A request that was written completely to the transport may have run: bytes left in the transport's
+        # buffer don't prove that the server did not receive it.
         self.record_idle_use(reset=not self.response_begun)
         self.abort_attempt(Result.RESET if self.attempt.request_written else Result.UNREACHABLE)
 
     def abort_attempt(self, result: Result) -> None:
-        """No answer, or no more of it, is waited for here."""
+        """End the attempt with this result and abort the connection, without waiting for the response."""
         attempt = self.detach_attempt()
-        # Before the module hears of it: what it sends next must not be a second one out.
+        # Before the result is reported: the policy may retry at once, and this attempt must be over by then.
         abort_now(self.transport)
         if attempt is not None:
             self.pool.finish_attempt(attempt, result)
@@ -194,7 +204,7 @@
             self.transport.close()
 
     def detach_attempt(self) -> Attempt | None:
-        """Nothing is under way here from now on."""
+        """Separate the attempt from this connection, and release the timers and buffers that it used."""
         attempt, self.attempt = self.attempt, None
         for timer in (self.unsized_body_timer, self.write_timer):
             if timer is not None:
@@ -208,9 +218,10 @@
             attempt.message.upload.leave()
         return attempt
 
-    # The request.
+    # Sending the request.
 
     def send_request(self, attempt: Attempt) -> None:
+        """Write the request; a streamed body follows as the client sends it."""
         self.attempt = attempt
         attempt.connection = self
         event(
@@ -236,14 +247,14 @@
             self.on_request_written()
         else:
             self.transport.write(head)
-            self.transport.set_write_buffer_limits(0)  # nothing is held here: what is not taken waits
+            self.transport.set_write_buffer_limits(0)  # buffer no body here: pause the client instead
             upload.join(self)
 
     def on_request_written(self) -> None:
         assert self.attempt is not None
         self.attempt.request_written = True
         if self.attempt.message.upload is not None:
-            self.attempt.started = now_ms()  # only now can the server begin
+            self.attempt.started = now_ms()  # the server can't start before this
         self.pool.metrics.forwards += 1
 
     def write_chunk(self, data: bytes) -> None:
@@ -277,13 +288,13 @@
         if self.attempt is not None and not self.attempt.request_written:
             self.abort_attempt(Result.UNREACHABLE)
 
-    # The answer.
+    # Receiving the response.
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.pool.body_budget.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.attempt is None:  # nothing was asked: what comes next on it could pass for an answer
+        if self.attempt is None:  # with no request sent, these bytes could be taken for the next response
             self.close("bytes_unasked")
             return
         self.response_begun = True
@@ -291,14 +302,14 @@
         try:
             self.parser.feed_data(self.pool.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserError as error:
-            if self.attempt is None:  # given up while it was read
+            if self.attempt is None:  # aborted while the bytes were parsed
                 return
             if not self.response_complete:
                 self.fail_malformed(str(error.__context__ or error))
                 return
             self.unexpected_bytes = True
         except httptools.HttpParserUpgrade:
-            self.fail_malformed("an upgrade")
+            self.fail_malformed("protocol upgrade")
             return
         if self.response_complete and self.attempt is not None:
             self.finish_response()
@@ -308,11 +319,11 @@
             self.pool.idle_limit.record_use(self.idle_before_ms, reset)
 
     def fail_malformed(self, reason: str) -> None:
-        log.warning("server %s:%d: malformed answer: %s", *self.server.address, reason)
+        log.warning("server %s:%d: malformed response: %s", *self.server.address, reason)
         self.abort_attempt(Result.ERROR)
 
     def finish_response(self) -> None:
-        """The answer is whole, or as much of it as is of use."""
+        """End the attempt with its response, which is complete or as complete as it needs to be."""
         assert self.attempt is not None
         request_sent, body = self.attempt.request_written, b"".join(self.buffered_body)
         attempt = self.detach_attempt()
@@ -332,7 +343,7 @@
         self.pool.finish_attempt(attempt, result, ServerResponse(status, body, self.content_type))
 
     def pause_reading_response(self, paused: bool) -> None:
-        """The client takes no more for now, or takes more again."""
+        """Stop reading the response while the client reads nothing, or read on."""
         self.reading_paused, self.last_read_ms = paused, now_ms()
         if self.transport.is_closing():
             return
@@ -342,7 +353,7 @@
             self.transport.resume_reading()
 
     def begin_streaming(self) -> None:
-        """From here on the answer is passed on as it comes."""
+        """Stream the response to the client from now on, starting with what is buffered."""
         attempt = self.attempt
         if attempt is None or attempt.streaming:
             return
@@ -357,11 +368,12 @@
                 self.pool.on_response_chunk(attempt, chunk)
 
     def count_in_budget(self) -> None:
+        """Count the response body once among those that share the memory budget."""
         if not self.counted_in_budget:
             self.counted_in_budget = True
             self.pool.body_budget.bodies += 1
 
-    # What the parser finds.
+    # Callbacks of the HTTP parser.
 
     def on_message_begin(self) -> None:
         if self.response_complete:
@@ -373,15 +385,15 @@
         self.content_type = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.response_complete or self.head_received:  # stray, or a trailer
+        if self.response_complete or self.head_received:  # unexpected, or a trailer
             return
-        lower_name, value = name.lower(), value.strip(b" \t")  # white space round a value is no part of it
+        lower_name, value = name.lower(), value.strip(b" \t")  # optional white space
         if lower_name == b"not-started":
             self.not_started = value == b"1"
         elif lower_name == b"content-type":
             self.content_type = value
         elif lower_name == b"content-length":
-            self.content_length = int(value)  # the parser has refused all but digits
+            self.content_length = int(value)  # the parser accepts digits only
         elif lower_name == b"transfer-encoding":
             self.transfer_coding = value.lower()
 
@@ -391,7 +403,7 @@
         if self.transfer_coding not in (b"", b"chunked"):
             raise ValueError(
                 f"transfer coding {self.transfer_coding!r}"
-            )  # reaches buffer_updated as a parser error
+            )  # raised in buffer_updated as a parser error
         self.head_received = True
         if self.parser.get_status_code() != 200:
             return
@@ -405,7 +417,7 @@
         if self.response_complete or attempt is None:
             return
         self.body_size += len(body)
-        if self.parser.get_status_code() != 200:  # its body is of no use; one that goes on is not waited for
+        if self.parser.get_status_code() != 200:  # its body is not used, so a long one is not read to its end
             if self.body_size > BUFFERED_BODY_BYTES:
                 self.keep_alive = False
                 self.finish_response()
@@ -419,27 +431,27 @@
                 self.begin_streaming()
 
     def on_message_complete(self) -> None:
-        if self.response_complete or self.parser.get_status_code() < 200:  # an interim answer
+        if self.response_complete or self.parser.get_status_code() < 200:  # interim response
             return
         self.response_complete = True
         self.keep_alive = self.parser.should_keep_alive()
 
 
 class AttemptHandler(Protocol):
-    """What the answers go to."""
+    """Receives the responses and the results of attempts."""
 
     def attempt_ended(self, attempt: Attempt, result: Result, response: ServerResponse | None) -> None:
-        """An attempt has ended, with the answer if one came whole."""
+        """An attempt has ended; `response` is set if it was received completely and not streamed."""
 
     def response_started(self, attempt: Attempt, content_length: int | None, content_type: bytes) -> None:
-        """An answer is passed on as it comes."""
+        """A response is streamed from now on."""
 
     def response_chunk(self, attempt: Attempt, chunk: bytes) -> None:
-        """A part of its body."""
+        """A chunk of the body of a streamed response was received."""
 
 
 class ServerPool:
-    """All servers that a list has named, and all attempts that are out."""
+    """All listed servers with their idle connections, and all attempts in flight."""
 
     def __init__(
         self,
@@ -469,19 +481,21 @@
         self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep_connections)
 
     def update(self, server_id: int, address: Address, state: State, started: float) -> None:
-        """Take over a line of the server list."""
+        """Apply an entry of the server list."""
         server = self.servers.get(server_id)
         if server is None:
             self.servers[server_id] = EndpointConnections(server_id, address, state, started)
         elif (server.address, server.state, server.started) != (address, state, started):
-            # Connections from before a restart are dead, and a server that drains gets nothing new.
+            # Connections from before a restart are dead, and a draining server gets no new requests.
             server.address, server.state, server.started = address, state, started
             self.discard_connections(server)
-        if state is State.GONE:  # attempts under way know it; where servers come and go, nobody else must
+        if (
+            state is State.GONE
+        ):  # attempts in flight keep a reference; entries of servers that left must not pile up
             self.servers.pop(server_id, None)
 
     def discard_connections(self, server: EndpointConnections) -> None:
-        """Use no connection to it that is open or on its way: what was decided before goes elsewhere."""
+        """Close its idle connections and end the attempts that wait for one, so that they go elsewhere."""
         server.version += 1
         for connection in server.idle:
             connection.close("endpoint_changed")
@@ -491,7 +505,7 @@
                 self.abort_attempt(attempt, Result.UNREACHABLE)
 
     def cordon(self, server_id: int) -> None:
-        """Nothing that was decided before reaches the server from now on."""
+        """Keep attempts that were decided before from reaching the server."""
         server = self.servers.get(server_id)
         if server is not None:
             self.discard_connections(server)
@@ -505,7 +519,7 @@
         send_within_ms: float,
         message: ForwardedRequest,
     ) -> None:
-        """Begin an attempt: it goes out within so many ms or not at all, and ends after `limit` ms."""
+        """Start an attempt: it is sent within `send_within_ms` or not at all, and ends after `timeout_ms`."""
         server = self.servers[server_id]
         now = now_ms()
         attempt = Attempt(
@@ -523,13 +537,13 @@
         if not idle:
             attempt.connection_wait = self.loop.create_task(self.connect(attempt))
             return
-        # What is left of its rest is far less than it takes to open another.
+        # The rest of the reuse delay is far shorter than the time to open another connection.
         attempt.reserved_connection = idle.pop(0)
         wait_ms = attempt.reserved_connection.idle_since + CONNECTION_REUSE_DELAY_MS - now
         attempt.connection_wait = self.loop.call_later(wait_ms / 1000, self.on_reuse_delay_over, attempt)
 
     def send_on_idle(self, connection: ServerConnection, attempt: Attempt, now: float) -> bool:
-        """Use a connection that has been idle, if it still can be."""
+        """Send the attempt on an idle connection; False, and the connection closed, if it is not usable."""
         idle_before_ms = now - connection.idle_since
         fresh = (
             connection.version == attempt.version == attempt.server.version
@@ -544,7 +558,7 @@
         return True
 
     def on_reuse_delay_over(self, attempt: Attempt) -> None:
-        """The connection that an attempt has waited for may be used."""
+        """The connection that is reserved for the attempt may be reused from now on."""
         connection, attempt.reserved_connection, attempt.connection_wait = (
             attempt.reserved_connection,
             None,
@@ -555,13 +569,15 @@
             attempt.connection_wait = self.loop.create_task(self.connect(attempt))
 
     async def connect(self, attempt: Attempt) -> None:
-        """Open a connection for an attempt; no byte has been sent where this fails."""
+        """Open a connection for an attempt. If this fails, no byte of the request has been sent."""
         server = attempt.server
         if (
             len(self.connections) + self.pending_connects >= self.max_connections
             and not self.close_idle_connection()
         ):
-            log.warning("no descriptors left for a connection to %s:%d", *server.address)
+            log.warning(
+                "no connection to server %s:%d: the limit on server connections is reached", *server.address
+            )
             self.finish_attempt(attempt, Result.UNREACHABLE)
             return
         self.pending_connects += 1
@@ -569,29 +585,31 @@
         try:
             async with asyncio.timeout(min(self.dial_timeout, attempt.send_before - now_ms()) / 1000):
                 await self.loop.create_connection(lambda: connection, *server.address)
-        except (OSError, UnicodeError):  # no connection in time, or an address that is none
+        except (OSError, UnicodeError):  # not connected in time, or not a valid address
             self.finish_attempt(attempt, Result.UNREACHABLE)
             return
         finally:
             self.pending_connects -= 1
         attempt.connection_wait = None
-        # Meanwhile the server may have begun to drain or come back elsewhere: then it gets nothing.
+        # The server may have started to drain meanwhile, or have restarted at another address.
         changed = attempt.version != server.version
         if changed or connection.transport.is_closing() or now_ms() >= attempt.send_before:
             connection.close("endpoint_changed_while_connecting" if changed else "came_up_late")
             self.finish_attempt(attempt, Result.UNREACHABLE)
         else:
-            # Counted from here, not from connection_made: a dial that is cancelled just as it comes up is
-            # closed by uvloop without connection_lost, and would count against the limit for ever.
+            # Counted here, not in connection_made: if connecting is cancelled just as it succeeds, uvloop
+            # closes the connection without connection_lost, and it would count against the limit for ever.
             self.connections.add(connection)
             connection.send_request(attempt)
 
     def set_limit(self, limit: int) -> None:
+        """Change the maximum number of connections, and close idle ones that exceed it."""
         self.max_connections = limit
         while len(self.connections) + self.pending_connects > limit and self.close_idle_connection():
             pass
 
     def close_idle_connection(self) -> bool:
+        """Close one idle connection to free its descriptor; False if there is none."""
         for server in self.servers.values():
             if server.idle:
                 connection = server.idle.pop(0)
@@ -601,7 +619,7 @@
         return False
 
     def return_to_pool(self, connection: ServerConnection, idle_since: float) -> None:
-        """Keep a connection for the next attempt, if its server still is the one it was opened to."""
+        """Keep a connection for the next attempt, unless its server has changed since it was opened."""
         server = connection.server
         if connection.version != server.version or server.state is not State.READY:
             connection.close("endpoint_changed")
@@ -610,10 +628,11 @@
         idle = server.idle
         if not idle or idle[-1].idle_since <= idle_since:
             idle.append(connection)
-        else:  # it was only held for an attempt that did not use it
+        else:  # it was reserved for an attempt that did not use it
             insort(idle, connection, key=lambda other: other.idle_since)
 
     def sweep_connections(self) -> None:
+        """Close connections that were idle for too long, and end streamed responses that have stalled."""
         self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.sweep_connections)
         self.idle_limit.on_sweep()
         idle_before = now_ms() - self.idle_limit.limit_ms
@@ -630,11 +649,11 @@
                 connection.abort_attempt(Result.RESET)
 
     def on_timeout(self, attempt: Attempt) -> None:
-        # Where no connection came up in the whole time, or took not all, nothing has run.
+        # Without a connection, or with the request partly written, the server has not run it.
         self.abort_attempt(attempt, Result.TIMEOUT if attempt.request_written else Result.UNREACHABLE)
 
     def set_timeout(self, request_id: int, number: int, timeout_ms: float) -> None:
-        """Set the time-out of an attempt anew."""
+        """Replace the timeout of an attempt that is not streamed yet."""
         attempt = self.attempts.get((request_id, number))
         if attempt is None or attempt.streaming:
             return
@@ -649,13 +668,13 @@
             self.abort_attempt(attempt, Result.CANCELLED)
 
     def cancel_unsent(self, request_id: int, number: int) -> None:
-        """The request is over: an attempt whose connection is not up yet does not go out."""
+        """End an attempt that has no connection yet, as its request is over."""
         attempt = self.attempts.get((request_id, number))
         if attempt is not None and attempt.connection is None:
             self.abort_attempt(attempt, Result.NOT_SENT)
 
     def abort_attempt(self, attempt: Attempt, result: Result) -> None:
-        """Stop waiting: the connection is of no more use, an answer may still come on it."""
+        """End an attempt early. Its connection is aborted, as a response may still arrive on it."""
         if attempt.connection_wait is not None:
             attempt.connection_wait.cancel()
         if attempt.reserved_connection is not None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -65,10 +65,10 @@
             old, _ = await stack.enter_async_context(started(path, environ))
             asking = asyncio.create_task(ask())  # one at a time: four at once are overload to one server
             new, _ = await stack.enter_async_context(started(path, environ))
-            await wait_for_line(old, "two processes")
+            await wait_for_line(old, "another process of this node is running")
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), WAIT) == 0
-            await wait_for_line(new, "one process again")
+            await wait_for_line(new, "this is the node's only process again")
             before = served[0]
             await until(lambda: served[0] > before + 20)
             over.set()
@@ -88,14 +88,14 @@
                 deaf.listen()
                 astray = environ | {"ROUTER_DISCOVERY": f"127.0.0.1:{deaf.getsockname()[1]}"}
                 new, _ = await stack.enter_async_context(started(path, astray, wait=False))
-                await wait_for_line(old, "two processes")
+                await wait_for_line(old, "another process of this node is running")
                 for _ in range(40):  # a second listener would get half of them
                     client = Client(*await asyncio.open_connection("127.0.0.1", port))
                     assert (await client.ask(request()))[0] == 200
                     client.writer.close()
                 new.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(new.wait(), WAIT) == 0
-            await wait_for_line(old, "one process again")
+            await wait_for_line(old, "this is the node's only process again")
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             assert (await client.ask(HEALTH))[0] == 200
 
