--- a/flaxstep/proxy/discovery.py
+++ b/flaxstep/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""The server list: the first whole list, then a watch, opened anew whenever it ends."""
+"""Client of service discovery: fetches the full server list, then watches it for changes."""
 
 from __future__ import annotations
 
@@ -17,97 +17,91 @@
 from flaxstep.routing.interface import Reach
 
 MEMBERS_PATH = "/catalog/members"
-HEARTBEAT_INTERVAL_S = 2.0  # s between the empty lines of a watch that has nothing to tell
-# A change counts as told 6 s after its watch fell silent, though it never arrived. So a watch that has said
-# nothing for this long, in s, is opened anew: not for a line that comes a little late, and in time for a call
-# that waits 3 s for its turn.
+HEARTBEAT_INTERVAL_S = 2.0  # of the empty lines that discovery sends on a watch without changes
+# A change counts as notified 6 s after its watch fell silent, even if it never arrived. A silent watch is
+# opened again after this time: late enough for a slightly delayed line, and in time for a call that is queued
+# for 3 s.
 WATCH_IDLE_TIMEOUT_S = HEARTBEAT_INTERVAL_S + 0.5
-# s for the first of an answer. Calls of many nodes wait for one another, and who gives one up waits from the
-# end of the line again.
+# For the first byte of a response. Discovery queues the calls of many nodes, and a call that is given up goes
+# to the end of the queue when it is repeated.
 RESPONSE_TIMEOUT_S = 10.0
-SECOND_CALL_DELAY_S = (
-    3.5  # s without an answer after which a second call is made beside the first: that may be lost
-)
-WAITING_NOTICE_DELAY_S = (
-    0.3  # s without an answer after which discovery, which has taken the connection, lets the call wait
-)
-CONNECT_TIMEOUT_S = 2.0  # s for a connection to come up
-PARTIAL_LIST_TIMEOUT_S = (
-    2.0  # s without a byte of a list that has come in part after which it is fetched whole
-)
-MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # s between tries
-# The longest while nobody answers and lists are pushed: what discovery has at its return counts at once.
+SECOND_CALL_DELAY_S = 3.5  # a second call is made beside one without a response, which may be lost
+WAITING_NOTICE_DELAY_S = 0.3  # then a call that is connected, but has no response, is reported as waiting
+CONNECT_TIMEOUT_S = 2.0
+PARTIAL_LIST_TIMEOUT_S = 2.0  # without a byte of the rest of a list; then the full list is requested
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0
+# The maximum if lists are pushed and discovery does not respond: its changes count from its return on.
 MAX_RETRY_DELAY_PUSHED_S = 0.1
-MAX_LIST_BYTES = 8 << 20  # bytes
+MAX_LIST_BYTES = 8 << 20
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 class DiscoveryError(Exception):
-    """A call that gave no list, or a watch that ended: what came instead."""
+    """A call returned no list, or a watch has ended."""
 
 
 class MalformedListError(DiscoveryError):
-    """What came can't be read as a list."""
+    """A response that is not a valid list."""
 
 
 class IncompleteListError(DiscoveryError):
-    """A line of a watch that may leave out what it meant to tell."""
+    """A line of a watch that may lack some of its changes."""
 
 
 class StatusError(DiscoveryError):
-    """An answer that is no list: discovery is down, or the call has waited too long."""
+    """Another status than 200: discovery is not available, or the call was queued for too long."""
 
 
 class ConnectionEndedError(DiscoveryError):
-    """Discovery has ended the connection."""
+    """Discovery has closed the connection."""
 
 
 UPDATE_LOST_ERRORS = (MalformedListError, IncompleteListError, httptools.HttpParserError)
 
 
 class JsonObjectReader:
-    """Takes the objects out of a watch: each on a line of its own or, indented, on several."""
+    """Splits a watch into JSON objects: each is one line or, if it is indented, several."""
 
     def __init__(self) -> None:
-        self.complete_lines = b""  # whole lines of an object that is not whole
-        self.partial_line = b""  # of a line
+        self.complete_lines = b""  # of an incomplete object
+        self.partial_line = b""
 
     @property
     def has_partial_object(self) -> bool:
         return bool(self.complete_lines or self.partial_line)
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """What has become whole; ValueError at what never can."""
+        """Yield the objects that these bytes complete; ValueError if they can't become valid JSON."""
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             if line.strip():
                 yield from self.add_line(line)
             elif self.complete_lines:
                 raise ValueError("an empty line within an object")
-        if self.partial_line.rstrip().endswith(b"}"):  # what has come counts, also before its line ends
+        if self.partial_line.rstrip().endswith(b"}"):  # complete, although its line has not ended
             with suppress(ValueError):
                 value = json.loads(self.complete_lines + self.partial_line)
                 self.complete_lines = self.partial_line = b""
                 yield value
 
     def add_line(self, line: bytes) -> Iterator[Any]:
-        first, self.complete_lines = not self.complete_lines, self.complete_lines + line + b"\n"
-        if not first and not line.rstrip().endswith((b"}", b"]")):
-            return  # nothing ends with it
+        is_first_line, self.complete_lines = not self.complete_lines, self.complete_lines + line + b"\n"
+        if not is_first_line and not line.rstrip().endswith((b"}", b"]")):
+            return  # the object can't end here
         text = self.complete_lines.decode()
         try:
             value = json.loads(text)
         except json.JSONDecodeError as error:
             if error.pos < len(text.rstrip()):
                 raise
-            return  # nothing but its end is missing
+            return  # incomplete, but valid so far
         self.complete_lines = b""
         yield value
 
 
 class ResponseBody:
-    """The body of one answer, taken out of its framing."""
+    """Decodes the body of one HTTP response."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -121,34 +115,37 @@
         self.complete = True
 
     async def read_more(self, reader: asyncio.StreamReader, timeout_s: float) -> None:
-        """Read on; TimeoutError if nothing comes within so many seconds."""
+        """Read the next bytes of the response; TimeoutError if there are none in time."""
         async with asyncio.timeout(timeout_s):
             chunk = await reader.read(65536)
         if not chunk:
-            raise ConnectionEndedError("the connection ended")
+            raise ConnectionEndedError("discovery closed the connection")
         self.parser.feed_data(chunk)
         if self.parser.get_status_code() not in (0, 200):
             raise StatusError(f"status {self.parser.get_status_code()}")
         if len(self.data) > MAX_LIST_BYTES:
-            raise MalformedListError("a line over the limit")
+            raise MalformedListError("the response exceeds the size limit")
 
 
 class DiscoveryCall:
-    """One call: a whole list, or a watch until it ends. What it shows of discovery goes to `client`."""
+    """One call: a request for the full list, or a watch until it ends.
+
+    It reports to `client` what it shows about the state of discovery.
+    """
 
     def __init__(self, client: Discovery, full_list: bool) -> None:
         self.client = client
-        self.address = client.address  # the client may move while the call is under way
+        self.address = client.address  # the client's address may change during the call
         self.full_list = full_list
         self.path = MEMBERS_PATH if full_list else f"{MEMBERS_PATH}?watch=1&from={client.version}"
         self.started_ms = now_ms()
         self.connected = False
-        self.partial_received = False  # a part of a list has come
-        self.answered_at_ms: float | None = None  # ms, when the first list or empty line came
+        self.partial_received = False  # the start of a list has been received
+        self.answered_at_ms: float | None = None  # the time of the first list or empty line
         self.waiting_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
-        """DiscoveryError says how it ended, unless it was a whole list that came."""
+        """Make the call. DiscoveryError says how it ended, unless it returned the full list."""
         outcome = "cancelled"
         try:
             await self.fetch_list()
@@ -166,7 +163,7 @@
             self.log_end(outcome)
 
     def reach_at_end(self, error: Exception) -> Reach:
-        """What the end of a call tells of discovery, and no more than that."""
+        """What the end of this call proves about the state of discovery."""
         timed_out = isinstance(error, TimeoutError)
         if not self.connected:
             if timed_out or isinstance(error, ConnectionRefusedError):
@@ -185,7 +182,7 @@
         return Reach.WAITING if timed_out else Reach.RESET
 
     def log_end(self, outcome: str) -> None:
-        """When a call began and what became of it: the age of the list in force follows from these lines."""
+        """Log when the call was made and how it ended; the age of the list in force follows from that."""
         answered_at_ms = self.answered_at_ms
         first_response = (
             "never" if answered_at_ms is None else f"after {(answered_at_ms - self.started_ms) / 1000:.3f} s"
@@ -229,19 +226,19 @@
                 await body.read_more(reader, timeout_s)
             except TimeoutError:
                 if objects.has_partial_object:
-                    self.client.version = None  # what the rest would have told is missed
+                    self.client.version = None  # the changes in the missing rest are lost
                 raise
             with self.wrap_malformed():
                 for value in objects.feed(bytes(body.data)):
                     self.apply_list(value)
             if len(objects.complete_lines) + len(objects.partial_line) > MAX_LIST_BYTES:
-                raise MalformedListError("a list over the limit")
+                raise MalformedListError("a list exceeds the size limit")
             self.partial_received = objects.has_partial_object
             if objects.has_partial_object:
                 timeout_s = PARTIAL_LIST_TIMEOUT_S
             elif body.data:
                 timeout_s = WATCH_IDLE_TIMEOUT_S
-                self.on_confirmed()  # also by an empty line: nothing has changed
+                self.on_confirmed()  # an empty line confirms the list too: nothing has changed
             body.data.clear()
         raise DiscoveryError("the watch ended")
 
@@ -258,7 +255,7 @@
             )
 
     def on_confirmed(self) -> None:
-        """What the node has is what discovery has."""
+        """The node's list is the current one of discovery."""
         if self.answered_at_ms is None:
             self.answered_at_ms = now_ms()
             if self.waiting_timer is not None:
@@ -270,7 +267,7 @@
 
     @contextmanager
     def wrap_malformed(self) -> Iterator[None]:
-        """A change may have been missed with what can't be taken: only the whole list brings it back."""
+        """Request the full list after a malformed one, as a change in it may have been lost."""
         try:
             yield
         except (ValueError, RecursionError) as error:
@@ -279,11 +276,12 @@
 
 
 class Discovery:
-    """Keeps the list fresh.
+    """Keeps the server list current.
 
-    `on_list` gets each list, raw, and whether it was asked for as a whole one. It returns the list's version,
-    None if that can't be read, and raises ValueError at what is no list. `on_reach` hears how the connection
-    to discovery stands, and when the call that shows it began, in ms of the monotonic clock.
+    `on_list` is called with each list, decoded from JSON, and whether it was requested as the full list. It
+    returns the version of the list, or None if that can't be read, and raises ValueError if it is not a list.
+    `on_reach` is called with each state of the connection to discovery, and with the start of the call that
+    shows it, in ms of the monotonic clock.
     """
 
     def __init__(
@@ -301,33 +299,34 @@
         self.on_reach = on_reach
         self.rng = rng
         self.loop = loop
-        self.version: int | None = None  # of the list in force; None: the whole list is wanted
+        self.version: int | None = None  # of the list in force; None: the full list is needed
         self.retry_delay_s = MIN_RETRY_DELAY_S
         self.failure_logged = False
-        self.last_call_unanswered = False  # the latest call: refused or reset
-        self.calls: dict[asyncio.Task[None], DiscoveryCall] = {}  # under way
+        self.last_call_unanswered = False  # it was reset, or never connected
+        self.calls: dict[asyncio.Task[None], DiscoveryCall] = {}
         self.call_answered = False
 
     def change_address(self, address: Address) -> None:
-        """The next call goes there. What failed at the old address is no reason to wait."""
+        """Use another address from the next call on, without the retry delay of the old one."""
         self.address, self.retry_delay_s, self.failure_logged = address, MIN_RETRY_DELAY_S, False
         for task in self.calls:
-            task.cancel()  # what still comes from the old address confirms nothing
+            task.cancel()  # the old address can't confirm the list any more
 
     async def run(self) -> None:
+        """Fetch and watch the list for ever, with a growing delay between failed calls."""
         while True:
             try:
                 await self.run_calls()
                 continue
             except DiscoveryError as error:
-                if not self.failure_logged:  # one line for each stretch of failures
-                    log.warning("discovery: %s; the list stays as it is", error)
+                if not self.failure_logged:  # only the first of several failures in a row
+                    log.warning("discovery: %s; the server list is kept", error)
                 self.failure_logged = True
             except Exception:
-                # Whatever it was: a watch that dies of it would leave the node with its old list for ever.
-                log.exception("discovery: unforeseen failure; the whole list is fetched")
+                # An unexpected error must not end the watch: the node would keep its old list for ever.
+                log.exception("discovery: unexpected error; the full list is requested")
                 self.version = None
-            # Nodes that lost discovery together must not come back together.
+            # Random, so that nodes that lost discovery at the same time don't reconnect at the same time.
             await asyncio.sleep(self.retry_delay_s * (0.5 + self.rng.random()))
             max_delay_s = (
                 MAX_RETRY_DELAY_PUSHED_S if self.pushed and self.last_call_unanswered else MAX_RETRY_DELAY_S
@@ -335,7 +334,7 @@
             self.retry_delay_s = min(2 * self.retry_delay_s, max_delay_s)
 
     async def run_calls(self) -> None:
-        """Fetch the whole list, or watch until the watch ends; with a second call beside one that hangs."""
+        """Fetch the full list, or watch it until the watch ends; a second call is made if the first hangs."""
         self.call_answered = False
         self.start_call()
         second_started = False
@@ -365,7 +364,7 @@
         self.calls[self.loop.create_task(call.run())] = call
 
     def on_call_answered(self, answered_call: DiscoveryCall) -> None:
-        """One call is answered: the others are of no more use."""
+        """Cancel the other calls once one has a response."""
         self.call_answered = True
         for task, call in self.calls.items():
             if call is not answered_call:
--- a/flaxstep/proxy/member_list.py
+++ b/flaxstep/proxy/member_list.py
@@ -1,4 +1,4 @@
-"""Reads discovery's lists: each entry for itself, so that one that can't be read costs no other."""
+"""Parses the server lists of discovery, entry by entry: a malformed entry does not affect the others."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 from flaxstep.routing.membership import MAX_TOMBSTONES, Membership
 
 STATE_BY_LIFECYCLE = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
-MAX_LOGGED_FAULTS = 1024  # faults that are remembered so that each is logged once
+MAX_LOGGED_FAULTS = 1024  # remembered, so that each is logged once
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the list: what the decisions need of it, and how it is reached and named."""
+    """One entry of the list: what the routing policy gets of it, and its address and name."""
 
     entry: ServerEntry
     address: Address
     name: str
-    started_at: float  # Unix time in ms of its start as listed, 0: long ago
+    started_at: float  # Unix time in ms as listed, 0: long ago
 
 
 @dataclass(slots=True)
 class MemberList:
-    """A list as far as it could be read."""
+    """The readable part of a list."""
 
     kind: ListKind
-    version: int | None  # None: the whole list has to be fetched anew
+    version: int | None  # None: the full list has to be requested
     endpoints: list[Endpoint]
 
 
 @dataclass(slots=True, frozen=True)
 class StartTime:
-    """When an endpoint started, as first listed."""
+    """When an endpoint started, on both clocks, in ms."""
 
-    unix: float  # ms
-    monotonic: float
+    unix: float
+    monotonic: float  # computed when this start was first listed
 
 
 @dataclass(slots=True)
 class _Fault:
-    """A field that can't be read."""
+    """A field with an invalid value."""
 
     name: str
     key: str
@@ -58,7 +58,7 @@
 
 @dataclass
 class MemberListReader:
-    """Turns discovery's JSON into endpoints, with the names of the settings as numbers."""
+    """Turns the decoded JSON of discovery into endpoints; zones and machine types become numbers."""
 
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -66,22 +66,21 @@
     stable_id: Callable[[bytes], int]
     membership: Membership = field(default_factory=Membership)
     known_endpoints: dict[int, Endpoint] = field(default_factory=dict)
-    known_starts: OrderedDict[int, StartTime] = field(
-        default_factory=OrderedDict
-    )  # also of those that have left
-    logged_faults: OrderedDict[str, None] = field(default_factory=OrderedDict)  # faults that were logged
+    # By endpoint, also of those that have left the list.
+    known_starts: OrderedDict[int, StartTime] = field(default_factory=OrderedDict)
+    logged_faults: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
     def read(self, raw: Any, kind: ListKind | None) -> MemberList:
-        """Read a list; `kind` is None for a line of a watch, which says itself whether it is whole.
+        """Read a list; `kind` is None for a line of a watch, which states itself whether it is a full list.
 
-        A line of a watch without a version, or with an entry that names nobody, may leave out what it meant
-        to tell: what can be read of it holds, and the version is None. ValueError if it is no list at all.
+        A line of a watch without a version, or with an entry without an id, may lack some of its changes: its
+        readable entries are applied, and the version is None. ValueError if it is not a list at all.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-            raise ValueError("no object with instances")
+            raise ValueError("not an object with a list of instances")
         from_watch = kind is None
         if step := self.clock.detect_step():
-            log.warning("the wall clock was stepped by %.0f ms; spans are kept", step)
+            log.warning("the wall clock was stepped by %.0f ms; durations are not affected", step)
         if kind is None:
             reset = raw.get("reset")
             if not isinstance(reset, bool):
@@ -97,7 +96,7 @@
         endpoints = [
             parsed for instance in instances if (parsed := self._read_endpoint(instance)) is not None
         ]
-        # Of entries that name one endpoint twice the last one counts.
+        # If several entries have the same id, the last one counts.
         latest_by_id = {endpoint.entry.id: endpoint for endpoint in endpoints}
         return MemberList(kind, version, self._resolve(kind, version, list(latest_by_id.values())))
 
@@ -118,7 +117,7 @@
         return endpoints
 
     def _has_instance_id(self, instance: Any) -> bool:
-        """Whether an entry says whom it is about."""
+        """Whether an entry has a usable instanceId."""
         if not isinstance(instance, dict):
             self._log_fault(_Fault("an entry", "it", instance))
             return False
@@ -129,9 +128,9 @@
         return False
 
     def _read_endpoint(self, instance: Any) -> Endpoint | None:
-        """One entry; None if it says nothing that can be used.
+        """Read one entry; None if it can't be used.
 
-        What tells who it is and whether it drains is enough. The rest falls back on what was known.
+        The id and the lifecycle are required. For other invalid fields the previous values are kept.
         """
         if not self._has_instance_id(instance):
             return None
@@ -140,11 +139,11 @@
         previous = self.known_endpoints.get(endpoint_id)
         state = self._read_state(name, instance.get("lifecycle"))
         if state is None:
-            return previous  # it is named, so it has not left
+            return previous  # still listed, so it has not left
         address = self._read_address(name, instance.get("hostPort"), previous)
         if address is None:
             if state is State.READY:
-                return None  # there is no way to it
+                return None  # it can't be reached
             address = ("", 0)
         started_at = self._read_started_at(name, instance.get("startedAtMs", 0), previous)
         entry = ServerEntry(
@@ -162,7 +161,7 @@
         if isinstance(lifecycle, str) and lifecycle in STATE_BY_LIFECYCLE:
             return STATE_BY_LIFECYCLE[lifecycle]
         self._log_fault(_Fault(name, "lifecycle", lifecycle))
-        return State.DRAINING if isinstance(lifecycle, str) else None  # whatever it is in, it is not active
+        return State.DRAINING if isinstance(lifecycle, str) else None  # an unknown lifecycle is not active
 
     def _read_address(self, name: str, text: object, previous: Endpoint | None) -> Address | None:
         try:
@@ -190,14 +189,14 @@
         return 1.0 if previous is None else previous.entry.size
 
     def _read_started_at(self, name: str, value: object, previous: Endpoint | None) -> float:
-        """Unix time in ms; 0 for long ago. One that can't be read counts as just now, so as cold."""
+        """Unix time in ms; 0 for long ago. An invalid time counts as now, so the endpoint counts as cold."""
         if _is_finite_number(value):
             return float(value)  # type: ignore[arg-type]
         self._log_fault(_Fault(name, "startedAtMs", value))
         return self.clock.unix() if previous is None else previous.started_at
 
     def _monotonic_start(self, endpoint_id: int, unix: float) -> float:
-        """The same on the monotonic clock. What was known stays, whatever has become of Unix time.
+        """The start on the monotonic clock. A known start is kept, so wall clock steps don't change it.
 
         Also of an endpoint that has left: an older list that names it again tells of no new start.
         """
@@ -216,11 +215,11 @@
         self.logged_faults[message] = None
         if len(self.logged_faults) > MAX_LOGGED_FAULTS:
             self.logged_faults.popitem(last=False)
-        log.warning("discovery: %s; the other entries hold", message)
+        log.warning("discovery: %s; the other entries are applied", message)
 
 
 def _is_finite_number(value: object) -> bool:
-    """Whether it is a number that can be reckoned with: JSON readers let NaN and huge integers through."""
+    """Whether it is a finite number: JSON decoders accept NaN and integers too large for a float."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
     try:
--- a/flaxstep/proxy/metrics.py
+++ b/flaxstep/proxy/metrics.py
@@ -1,5 +1,4 @@
-"""What the node reports: counters since its start and gauges, as statsd lines; and figures of each job
-server."""
+"""Metrics of a node: its counters and gauges as statsd lines, and counts by job server as JSON."""
 
 from __future__ import annotations
 
@@ -10,22 +9,22 @@
 from flaxstep.routing.interface import NEVER_RAN, Result
 
 PREFIX = "edge_router"
-BUCKETS_PER_DOUBLING = 4  # buckets of answer times to a doubling: within 19%
-BUCKET_COUNT = 64  # from 1 ms to 65 s
+BUCKETS_PER_DOUBLING = 4  # of the response time: bounds are 19% apart
+BUCKET_COUNT = 64  # up to 65 s
 
 
 class Metrics:
-    """The counters. Each is raised where its outcome becomes known."""
+    """Counters of request outcomes by class and of forwarded attempts, since the start of the process."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.classes = list(classes)  # in the order of their numbers
+        self.classes = list(classes)  # by class number
         self.succeeded = [0] * len(self.classes)
         self.declined = self.succeeded[:]
         self.aborted = self.succeeded[:]
-        self.forwards = 0  # attempts written whole to servers
+        self.forwards = 0  # attempts whose request was written completely
 
     def record_outcome(self, cls: int, status: int) -> None:
-        """A request got its whole final answer."""
+        """Count a request by the status of its final response."""
         if status == 200:
             self.succeeded[cls] += 1
         elif status in (429, 503):
@@ -34,6 +33,7 @@
             self.aborted[cls] += 1
 
     def to_statsd(self, gauges: Mapping[str, int]) -> str:
+        """Format the counters and these gauges as statsd lines."""
         counts = [
             f"results.{name}.{outcome}:{count[cls]}|c"
             for cls, name in enumerate(self.classes)
@@ -49,24 +49,24 @@
 
 
 class ServerMetrics:
-    """What each listed job server has answered, by class, since its process started (or this node's did)."""
+    """Results by listed job server and class, since the start of the server or, if later, of this process."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes = list(classes)
         self.servers: dict[int, ServerResponseCounts] = {}
 
     def add_server(self, server: int, name: str, started_at: float) -> None:
-        """A server is in the list. One that has started anew begins anew here."""
+        """Add a listed server; its counts start from zero again if it has restarted."""
         known = self.servers.get(server)
         if known is None or known.started_at != started_at:
             self.servers[server] = ServerResponseCounts(name, started_at, len(self.classes))
 
     def remove_server(self, server: int) -> None:
-        """It is not listed any more."""
+        """Remove a server that is not listed any more."""
         self.servers.pop(server, None)
 
     def record_attempt(self, server: int, cls: int, result: Result, elapsed_ms: float) -> None:
-        """An attempt at a server has its outcome, after `took` ms."""
+        """Count an attempt by its result and the time that it took."""
         counts = self.servers.get(server)
         if counts is None:
             return
@@ -80,9 +80,9 @@
             counts.failed[cls] += 1
 
     def report(self, outstanding: Mapping[int, int], cordoned: Set[str]) -> str:
-        """One JSON object, by server: attempts out, whether it is out by hand, Unix ms of its start as the
-        list has it, answers by class.
+        """A JSON object by server name.
 
+        `out` is the number of attempts in flight, `started` the Unix time in ms of the start as listed, and
         `took` has pairs of a bucket and its count; bucket n ends at 2 ** ((n + 1) / 4) - 1 ms.
         """
         return json.dumps(
@@ -100,17 +100,18 @@
 
 
 class ServerResponseCounts:
-    """One job server's."""
+    """Result counts of one job server by class."""
 
     __slots__ = ("failed", "latency_counts", "name", "not_started", "started_at")
 
     def __init__(self, name: str, started_at: float, classes: int) -> None:
         self.name, self.started_at = name, started_at
-        self.failed = [0] * classes  # errors, resets and time-outs: they may have run
-        self.not_started = [0] * classes  # turned away, or no connection
+        self.failed = [0] * classes  # errors, resets and timeouts: the attempt may have run
+        self.not_started = [0] * classes  # rejected by the server, or no connection
         self.latency_counts = [[0] * BUCKET_COUNT for _ in range(classes)]
 
     def to_dict(self, cls: int) -> dict[str, object]:
+        """The counts of one class, as in the report."""
         latency_counts = [(bucket, count) for bucket, count in enumerate(self.latency_counts[cls]) if count]
         ok = sum(count for _, count in latency_counts)
         return {
--- a/flaxstep/proxy/shared_state.py
+++ b/flaxstep/proxy/shared_state.py
@@ -1,7 +1,7 @@
-"""What the processes of one node share during an upgrade, in a folder that they both have.
+"""State that the old and the new process of a node share during an upgrade, in a common folder.
 
-A file holds what operators have said of the servers; it is replaced whole, under a lock. Beside it each
-process holds a lock on a file of its own: while another's is locked, the node is two processes.
+One file has the servers that operators cordoned and uncordoned; it is replaced as a whole, under a lock. Each
+process also locks a file of its own, its presence file: others see by that lock that the process is running.
 """
 
 from __future__ import annotations
@@ -18,32 +18,33 @@
 from pathlib import Path
 from typing import Any
 
-MAX_FILE_BYTES = 1 << 20  # bytes; what is larger was not written here
-LOCK_TIMEOUT_S = 0.1  # s to wait for the lock: whoever holds it needs far less
+MAX_FILE_BYTES = 1 << 20  # larger files were not written by a node
+LOCK_TIMEOUT_S = 0.1  # the lock is held for a far shorter time
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 def parse_limited_json(data: bytes) -> Any:
+    """Decode JSON of at most MAX_FILE_BYTES; ValueError otherwise."""
     if len(data) > MAX_FILE_BYTES:
-        raise ValueError("over the limit")
+        raise ValueError("the file is too large")
     return json.loads(data)
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorState:
-    """What operators have said, by the servers' names."""
+    """The servers that operators cordoned, and those that they uncordoned, by name."""
 
     cordoned: frozenset[str] = frozenset()
-    returned: dict[str, float] = field(default_factory=dict)  # Unix time in ms of the call back
+    returned: dict[str, float] = field(default_factory=dict)  # Unix time in ms of uncordoning
 
     def with_cordoned(self, name: str) -> OperatorState:
-        """The server is taken out."""
+        """A copy in which the server is cordoned."""
         returned = {other: at for other, at in self.returned.items() if other != name}
         return OperatorState(self.cordoned | {name}, returned)
 
     def with_returned(self, name: str, at: float, forget: Set[str]) -> OperatorState:
-        """The server is called back. The returns of those to forget no longer matter."""
+        """A copy in which the server is uncordoned, without the return times of the servers in `forget`."""
         returned = {other: when for other, when in self.returned.items() if other not in forget}
         return OperatorState(self.cordoned - {name}, returned | {name: at})
 
@@ -52,30 +53,30 @@
 
     @classmethod
     def from_json(cls, data: bytes) -> OperatorState:
-        """ValueError at anything but what to_json writes."""
+        """Parse the output of to_json; ValueError for anything else."""
         raw = parse_limited_json(data)
         if not isinstance(raw, dict) or raw.keys() != {"cordoned", "returned"}:
             raise ValueError("not an object with cordoned and returned")
         cordoned, returned = raw["cordoned"], raw["returned"]
         if not isinstance(cordoned, list) or not all(isinstance(name, str) for name in cordoned):
-            raise ValueError("cordoned is no list of names")
+            raise ValueError("cordoned is not a list of names")
         if not isinstance(returned, dict) or not all(
             isinstance(at, int | float) and math.isfinite(at) for at in returned.values()
         ):
-            raise ValueError("returned holds no times by name")
+            raise ValueError("returned is not an object of times by name")
         return cls(frozenset(cordoned), returned)
 
 
 @dataclass(slots=True, frozen=True)
 class ReturnMoment:
-    """One moment on both clocks, in ms. The monotonic one is the same for all processes of a machine."""
+    """When a server was uncordoned, in ms on both clocks. The monotonic one is common to a machine."""
 
     unix: float
     monotonic: float
 
 
 def parse_moments(data: bytes) -> dict[str, ReturnMoment]:
-    """ValueError at anything but what write_moments writes."""
+    """Parse the output of write_moments; ValueError for anything else."""
     raw = parse_limited_json(data)
     if not isinstance(raw, dict):
         raise ValueError("not an object")
@@ -86,44 +87,45 @@
             or len(times) != 2
             or not all(isinstance(x, int | float) for x in times)
         ):
-            raise ValueError(f"{name}: not two times")
+            raise ValueError(f"{name}: not a pair of times")
         moments[name] = ReturnMoment(*map(float, times))
     return moments
 
 
 class SharedState:
-    """This process's part in it. Without a folder it keeps what is said to itself."""
+    """The shared state as this process sees it. Without a folder, the state is local to the process."""
 
     def __init__(
         self, folder: Path | None, name: str, on_change: Callable[[OperatorState, OperatorState], None]
     ) -> None:
-        self.on_change = on_change  # gets what held before and what holds now
+        self.on_change = on_change  # called with the old and the new state
         self.state = OperatorState()
-        self.others_running = False  # another process of the node runs
-        self.last_file_stamp: tuple[int, int] | None = None  # of the file as last read
+        self.others_running = False  # another process of this node is running
+        self.last_file_stamp: tuple[int, int] | None = None  # of the state file when last read
         self.folder = folder
         # The file names keep this prefix: processes of earlier versions read and write them.
         prefix = "badgercart-" + name.encode().hex()
         self.prefix = prefix + "."
-        self.presence_descriptor: int | None = None  # descriptor of the own lock
-        self.fully_read = folder is None  # the latest look saw all there is
+        self.presence_descriptor: int | None = None  # of the locked presence file
+        self.fully_read = folder is None  # the last refresh could read everything
         self.closed = False
-        self.last_error = ""  # what was last said to be wrong with the folder
-        self.unsaved_cordons: frozenset[str] = frozenset()  # who is out here, and not yet in the file
-        self.moments: dict[str, ReturnMoment] = {}  # of the returns, by name
+        self.last_error = ""  # last logged about the folder
+        self.unsaved_cordons: frozenset[str] = frozenset()  # in force here, but not in the file yet
+        self.moments: dict[str, ReturnMoment] = {}  # by server name
         if folder is not None:
             self.state_file, self.lock_file = folder / f"{prefix}.json", folder / f"{prefix}.lock"
             self.moments_file = folder / f"{prefix}.moments.json"
             self.presence_file = folder / f"{prefix}.{os.getpid()}-{time.monotonic_ns()}.alive"
 
     def start(self) -> None:
+        """Read the shared state for the first time, and announce this process."""
         self.refresh()
 
     def announce_process(self) -> None:
-        """Let other processes see this one. OSError if they can't yet."""
+        """Lock the presence file, so that other processes see this one. OSError if that fails."""
         with self.exclusive_lock():
             for path in self.other_presence_files():
-                if not is_locked(path):  # its process was killed
+                if not is_locked(path):  # left by a process that was killed
                     path.unlink(missing_ok=True)
             descriptor = os.open(self.presence_file, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             try:
@@ -134,6 +136,7 @@
             self.presence_descriptor = descriptor
 
     def close(self) -> None:
+        """Remove the presence file and release its lock."""
         self.closed = True
         if self.presence_descriptor is not None:
             self.presence_file.unlink(missing_ok=True)
@@ -141,9 +144,9 @@
             self.presence_descriptor = None
 
     def refresh(self) -> None:
-        """Take up what another process has written, and see whether one runs.
+        """Read what other processes have written, and detect whether one is running.
 
-        What can't be looked at now is looked at again: unseen does not mean that nothing is there.
+        Whatever can't be read now is read again later: an error does not mean that there is nothing.
         """
         if self.folder is None:
             return
@@ -154,11 +157,11 @@
         error = "; ".join(filter(None, errors))
         self.fully_read = not any(errors[:2])
         if error and error != self.last_error:
-            log.warning("%s: %s; it is tried again", self.folder, error)
+            log.warning("%s: %s; trying again", self.folder, error)
         self.last_error = error
 
     def run_step(self, step: Callable[[], None]) -> str:
-        """What kept a step from being done; empty: nothing."""
+        """Run a step and return the error that prevented it, or an empty string."""
         try:
             step()
         except OSError as error:
@@ -166,48 +169,49 @@
         return ""
 
     def detect_other_processes(self) -> None:
+        """Check whether another process holds the lock of its presence file."""
         self.others_running = any(is_locked(path) for path in self.other_presence_files())
 
     def retry_unfinished(self) -> None:
-        """Do what could not be done so far: be seen, and write down who is out."""
+        """Announce this process and save its cordons, if that has failed before."""
         if self.presence_descriptor is None and not self.closed:
             self.announce_process()
         if self.unsaved_cordons:
             self.apply_change(lambda state: state)
 
     def apply_change(self, edit: Callable[[OperatorState], OperatorState]) -> None:
-        """Keep a change, then let it hold. OSError, and nothing changed, if it can't be kept."""
+        """Save a change, then apply it. OSError, and no change, if it can't be saved."""
         if self.folder is None:
             self.set_state(edit(self.state))
             return
         with self.exclusive_lock():
             self.read_file()
             state = edit(self.state)
-            self.write_moments(state)  # first: who sees the return has its moment
+            self.write_moments(state)  # first, so that readers of the state file find the moments
             replace_file(self.state_file, state.to_json())
             self.unsaved_cordons = frozenset()
-            with suppress(OSError):  # it is read once more then
+            with suppress(OSError):  # then the file is just read once more
                 self.last_file_stamp = file_stamp(self.state_file)
         self.set_state(state)
 
     def cordon_unsaved(self, name: str) -> None:
-        """Take a server out here, though it could not be kept; it is written down as soon as it can be.
+        """Cordon a server in this process although that could not be saved; saving it is retried.
 
-        The rule on a server that operators take out runs from 1 s after their call, whatever the answer.
+        A cordon must be in force 1 s after the operator's call, whatever the response to the call was.
         """
         self.unsaved_cordons |= {name}
         self.set_state(self.state)
 
-    # When servers were called back. The shared file has Unix times, as versions before read and write it; the
-    # wall clock may be stepped, so a file beside it has the same moments on the monotonic clock.
+    # Return times: when servers were uncordoned. The state file has them as Unix time, which earlier versions
+    # read and write. As the wall clock may be stepped, a second file has them on the monotonic clock too.
 
     def record_return(self, name: str, now: float) -> float:
-        """A server is called back at `now` on the monotonic clock: the Unix time that says so."""
+        """Record that a server is uncordoned at the monotonic time `now`; return the Unix time."""
         self.moments[name] = ReturnMoment(time.time() * 1000, now)
         return self.moments[name].unix
 
     def return_time(self, name: str, unix: float) -> float:
-        """When it was called back, on the monotonic clock; by Unix time where nothing else tells."""
+        """The monotonic time of uncordoning, computed from Unix time if no moment is recorded."""
         moment = self.moments.get(name)
         if moment is not None and moment.unix == unix:
             return moment.monotonic
@@ -223,11 +227,12 @@
         try:
             self.moments |= parse_moments(read_limited(self.moments_file))
         except FileNotFoundError:
-            pass  # a version before has written the shared file
+            pass  # an earlier version has written the state file
         except (ValueError, RecursionError) as error:
-            log.warning("%s: %s; Unix times have to do", self.moments_file, error)
+            log.warning("%s: %s; using Unix times", self.moments_file, error)
 
     def set_state(self, state: OperatorState) -> None:
+        """Put a state into force, with the cordons that are not saved yet, and report a change."""
         for name in self.unsaved_cordons:
             state = state.with_cordoned(name)
         before, self.state = self.state, state
@@ -235,7 +240,7 @@
             self.on_change(before, state)
 
     def read_file(self) -> None:
-        """Take up the file if it is another than the one last taken up; OSError if it can't be read now."""
+        """Apply the state file if it was replaced since the last read; OSError if it can't be read."""
         file_stamp_now = file_stamp(self.state_file)
         if file_stamp_now is None or file_stamp_now == self.last_file_stamp:
             return
@@ -243,16 +248,17 @@
         try:
             state = OperatorState.from_json(data)
         except (ValueError, RecursionError) as error:
-            self.last_file_stamp = file_stamp_now  # it stays as it is until it is replaced
-            log.warning("%s: %s; what held before holds on", self.state_file, error)
+            self.last_file_stamp = file_stamp_now  # not read again until it is replaced
+            log.warning("%s: %s; the previous state stays in force", self.state_file, error)
             return
-        # Who is out must be known at once; when others came back is told by the second file.
+        # Cordons apply at once; return times need the second file, which may fail to be read.
         self.set_state(OperatorState(state.cordoned, self.state.returned))
         self.read_moments()
         self.last_file_stamp = file_stamp_now
         self.set_state(state)
 
     def other_presence_files(self) -> list[Path]:
+        """The presence files of other processes of this node, running or not."""
         assert self.folder is not None
         names = [
             name
@@ -263,7 +269,7 @@
 
     @contextmanager
     def exclusive_lock(self) -> Iterator[None]:
-        """Alone among the node's processes. A holder that hangs must not hang this one too."""
+        """Hold the lock among the node's processes. TimeoutError if another process does not release it."""
         descriptor = os.open(self.lock_file, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             deadline = time.monotonic() + LOCK_TIMEOUT_S
@@ -280,13 +286,13 @@
 
 
 def read_limited(path: Path) -> bytes:
-    """A file of ours, or as much of it as shows that it is too large to be one."""
+    """Read a file, at most one byte more than a valid one may have."""
     with path.open("rb") as file:
         return file.read(MAX_FILE_BYTES + 1)
 
 
 def file_stamp(path: Path) -> tuple[int, int] | None:
-    """What changes when the file is replaced; None if there is none. OSError if that can't be seen."""
+    """A value that changes when the file is replaced; None without a file. OSError if that is unknown."""
     try:
         status = path.stat()
     except FileNotFoundError:
@@ -295,14 +301,14 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replace a file whole: who reads it sees the old one or the new one."""
+    """Replace a file atomically: readers see the old content or the new one."""
     temporary = path.with_suffix(".new")
     temporary.write_bytes(data)
     temporary.replace(path)
 
 
 def is_locked(path: Path) -> bool:
-    """Whether the process whose lock this is runs."""
+    """Whether a presence file is locked, so its process is running."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
--- a/tests/test_member_list.py
+++ b/tests/test_member_list.py
@@ -108,7 +108,7 @@
     lists = reader()
     for generation in range(1, 4):
         lists.read(listing(entry("s-1", weight=None), generation=generation), None)
-    assert caplog.messages == ["discovery: s-1: weight is 'None'; the other entries hold"]
+    assert caplog.messages == ["discovery: s-1: weight is 'None'; the other entries are applied"]
 
 
 def test_an_older_list_takes_no_drain_back_but_a_later_one_or_a_restart_does() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -113,5 +113,5 @@
     new.start()
     (unix,) = new.state.returned.values()
     assert new.return_time("s-1", unix) == pytest.approx(now, abs=2000.0)
-    assert "Unix times have to do" in caplog.text
+    assert "using Unix times" in caplog.text
     new.close()
