--- a/tests/shim.py
+++ b/tests/shim.py
@@ -1,4 +1,4 @@
-"""Builds the C library that makes system calls of a node's process fail (`flaxstep/faultbench/shim`)."""
+"""Builds the C library that makes system calls of a node process fail (`flaxstep/faultbench/shim`)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def build_shim(folder: Path) -> Path:
-    """The library, built below `folder`."""
+    """Compile the library into `folder` and return its path."""
     built = folder / "syscalls.so"
     subprocess.run(
         ["cc", "-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o", built, SOURCE, "-ldl"], check=True
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -1,4 +1,4 @@
-"""Servers that operators take out and call back: the module's part, the node's, and two processes'."""
+"""Cordoning and uncordoning servers: in the routing policy, in a node, and in two processes of a node."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def targets(stage: Stage, requests: int, step: float = 5.0) -> list[int]:
-    """Where so many requests go; each is served."""
+    """The servers that this many requests are sent to, each answered before the next step."""
     found = []
     for _ in range(requests):
         stage.request()
@@ -33,7 +33,7 @@
     return found
 
 
-def test_a_server_that_is_out_gets_nothing_whatever_the_lists_say() -> None:
+def test_a_cordoned_server_gets_no_request_whatever_the_lists_say() -> None:
     stage = Stage(settings())
     stage.give(Cordon(3))
     changes: list[Any] = [
@@ -53,7 +53,7 @@
         assert stage.policy.avoided(stage.now) == {3}
 
 
-def test_a_retry_or_a_repeat_in_a_rack_passes_over_a_server_that_is_out() -> None:
+def test_a_retry_or_a_repeat_in_a_rack_skips_a_cordoned_server() -> None:
     for out in range(8):
         stage = Stage(settings(), servers=8)
         number = stage.request()
@@ -66,7 +66,7 @@
         assert out not in [entry.id for _, entry in stage.attempts[number]]
 
 
-def test_one_call_back_brings_a_server_back_soon_and_cold() -> None:
+def test_an_uncordoned_server_gets_requests_soon_and_starts_cold() -> None:
     stage = Stage(settings(cold_from=0.2, ramp_time=10_000.0))
     targets(stage, 400)
     usual = targets(stage, 400).count(6)
@@ -81,15 +81,15 @@
     assert targets(stage, 400).count(6) > 0.75 * usual  # warm again
 
 
-def test_a_server_that_is_called_back_is_tried_also_where_chance_would_pass_it_over() -> None:
-    stage = Stage(settings(), servers=8)  # another zone than ours, with idle servers in our own
+def test_an_uncordoned_server_is_tried_even_if_random_choice_would_skip_it() -> None:
+    stage = Stage(settings(), servers=8)  # in another zone than the node's, which has idle servers
     stage.give(Cordon(7))
     targets(stage, 50)
     stage.give(Uncordon(7, stage.now))
     assert targets(stage, 1) == [7]
 
 
-def test_what_is_unknown_to_the_list_can_be_out_before_it_comes() -> None:
+def test_a_server_can_be_cordoned_before_it_is_listed() -> None:
     stage = Stage(settings(), servers=4)
     stage.give(Cordon(9))
     stage.list([server(9)])
@@ -98,7 +98,7 @@
     assert 9 in targets(stage, 60)
 
 
-def test_calls_out_and_back_at_the_door() -> None:
+def test_cordon_and_uncordon_calls_at_the_admin_port() -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
         async with running(*peers, admin=DOOR) as stand:
@@ -108,12 +108,12 @@
             for body, status in ((b"s-9", 404), (b"", 400), (b"\xff", 400), (b"x" * 300, 413)):
                 for call in ("cordon", "uncordon"):
                     assert (await stand.call("POST", call, body))[0] == status
-            for body in (b"s-1", b"s-1\n"):  # twice out
+            for body in (b"s-1", b"s-1\n"):  # cordoned twice
                 assert (await stand.call("POST", "cordon", body))[0] == 200
             await until(lambda: peers[0].ended.qsize() == peers[0].connections)  # idle ones are closed
             assert (await stats(stand))["ejected"] == 1
             before = peers[0].requests.qsize()
-            stand.agent.push(2, [peers[0].entry("s-1", "left")])  # restarts: missing, then back
+            stand.agent.push(2, [peers[0].entry("s-1", "left")])  # a restart: missing, then listed again
             stand.agent.push(3, [peers[0].entry("s-1")])
             while (await stand.event(ServerList)).version != 3:
                 pass
@@ -123,7 +123,7 @@
             stand.agent.push(4, [peers[0].entry("s-1", "left")])
             while (await stand.event(ServerList)).version != 4:
                 pass
-            assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200  # though the list lacks it
+            assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200  # although it is not listed
             stand.agent.push(5, [peers[0].entry("s-1")])
             while (await stand.event(ServerList)).version != 5:
                 pass
@@ -136,19 +136,19 @@
     run(test())
 
 
-def test_a_dial_that_is_on_when_its_server_is_taken_out_ends_and_the_request_goes_elsewhere() -> None:
+def test_connecting_to_a_server_that_is_cordoned_ends_and_the_request_goes_elsewhere() -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
         async with running(*peers, attempts=3, admin=DOOR) as stand:
             send, out = stand.node.send_attempt, []
 
-            def taken_out_at_once(action: Send) -> None:
+            def cordoned_at_once(action: Send) -> None:
                 send(action)
                 if not out:
                     out.append("s-1" if action.server == stable_id(b"s-1") else "s-2")
                     asyncio.get_running_loop().call_soon(stand.node.cordon, out[0].encode())
 
-            stand.node.action_handlers[Send] = taken_out_at_once
+            stand.node.action_handlers[Send] = cordoned_at_once
             assert (await (await stand.client()).ask(request("pay")))[0] == 200
             assert (await stand.outcome()).result == Result.UNREACHABLE
             assert peers[0 if out == ["s-1"] else 1].requests.empty()
@@ -156,7 +156,7 @@
     run(test())
 
 
-def test_a_call_to_either_process_holds_in_both(tmp_path: Path) -> None:
+def test_a_call_to_either_process_applies_to_both(tmp_path: Path) -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
         async with running(*peers, admin=DOOR, shared=tmp_path) as old:
@@ -175,17 +175,17 @@
                 assert (peers[0].requests.qsize(), peers[1].requests.qsize()) == (1, 0)
             async with running(*peers, admin=DOOR, shared=tmp_path) as third:
                 assert third.node.policy.cordoned == {stable_id(b"s-2")}
-                assert third.node.policy.returned.keys() == {stable_id(b"s-1")}  # cold for it too
+                assert third.node.policy.returned.keys() == {stable_id(b"s-1")}  # cold in this process too
 
     run(test())
 
 
-SPOILT = [b"", b"[]", b"{", b'{"cordoned": 7, "returned": {}}', b'{"cordoned": [1], "returned": {}}',
+MALFORMED_FILES = [b"", b"[]", b"{", b'{"cordoned": 7, "returned": {}}', b'{"cordoned": [1], "returned": {}}',
           b'{"cordoned": [], "returned": {"a": NaN}}', b'{"cordoned": []}', b"\xff", b"[" * 9999]  # fmt: skip
 
 
-@pytest.mark.parametrize("data", SPOILT, ids=range(len(SPOILT)))
-def test_a_spoilt_file_is_logged_and_the_next_call_writes_a_good_one(
+@pytest.mark.parametrize("data", MALFORMED_FILES, ids=range(len(MALFORMED_FILES)))
+def test_a_malformed_file_is_logged_and_the_next_call_replaces_it(
     tmp_path: Path, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     first = SharedState(tmp_path, "n0", lambda before, now: None)
@@ -202,8 +202,8 @@
     second.close()
 
 
-def test_a_call_that_cannot_be_kept_is_a_no_and_the_server_is_out_all_the_same(tmp_path: Path) -> None:
-    """The rule runs from 1 s after the call, and once the file can be written a successor knows it too."""
+def test_a_cordon_that_cannot_be_saved_returns_503_and_applies_nevertheless(tmp_path: Path) -> None:
+    """It must apply 1 s after the call, and a successor knows it once the file can be written."""
 
     async def test(stand: Stand) -> None:
         for path in tmp_path.iterdir():
@@ -232,10 +232,10 @@
 
 @pytest.mark.parametrize("call", ["file_stamp", "read_limited", "is_locked"])
 @pytest.mark.parametrize("code", [errno.EIO, errno.EMFILE, errno.ENFILE])
-def test_what_could_not_be_read_once_is_read_at_the_next_look(
+def test_what_could_not_be_read_is_read_at_the_next_refresh(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, code: int
 ) -> None:
-    """One failed read is no proof that nobody is out, and none that no other process runs."""
+    """A failed read does not prove that no server is cordoned, or that no other process is running."""
     first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
     first.apply_change(lambda state: state.with_cordoned("s-1"))
@@ -251,12 +251,12 @@
     second.refresh()
     assert second.fully_read and second.others_running and second.state.cordoned == {"s-1"}
     first.refresh()
-    assert first.others_running  # and it is seen, though it could not make itself seen at its start
+    assert first.others_running  # announced at its second attempt
     first.close()
     second.close()
 
 
-def test_a_node_takes_no_client_before_it_knows_who_is_out(
+def test_a_node_accepts_no_client_before_it_has_read_the_cordons(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     before = SharedState(tmp_path, "n0", lambda before, now: None)
@@ -281,7 +281,9 @@
     run(whole())
 
 
-def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_waiting_for_a_lock_that_is_not_released_times_out(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(shared_state, "LOCK_TIMEOUT_S", 0.02)
     first, second = (SharedState(tmp_path, "n0", lambda before, now: None) for _ in range(2))
     with first.exclusive_lock(), pytest.raises(TimeoutError):
@@ -291,7 +293,7 @@
     assert second.state.cordoned == {"s-1"}
 
 
-def test_processes_see_each_other_and_nodes_of_other_names_do_not(tmp_path: Path) -> None:
+def test_processes_detect_each_other_but_not_those_of_other_nodes(tmp_path: Path) -> None:
     first, second, other = (SharedState(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
     first.start()
     other.start()
@@ -310,7 +312,7 @@
 
 
 def cold_rate(tip: float, elapsed: float) -> float:
-    """A cold server's share of all requests when it answers in so many ms, and the others in 40."""
+    """The share of requests that a cold server gets if it responds in `elapsed` ms, and others in 40 ms."""
     stage = Stage(settings(cold_from=0.2, ramp_time=60_000.0, tip_multiple=tip), servers=4)
     stage.give(Cordon(0))
     sent = {server_id: 0 for server_id in range(4)}
@@ -328,14 +330,14 @@
     return sent[0] / sum(sent.values())
 
 
-def test_a_cold_server_that_answers_quickly_gets_more_but_less_than_tips_it() -> None:
+def test_a_cold_server_that_responds_quickly_gets_more_but_not_enough_to_overload_it() -> None:
     sure, quick, slow = cold_rate(1.0, 20.0), cold_rate(2.5, 20.0), cold_rate(2.5, 80.0)
-    assert quick > 1.3 * sure  # its answers show that it can more than its age is sure of
-    assert slow < 1.1 * sure  # and where they do not, it gets no more
-    assert quick < 2.5 * 0.3 / 3  # of what a warm one gets, with 0.3 of its strength after 8 s
+    assert quick > 1.3 * sure  # its responses show more capacity than its age guarantees
+    assert slow < 1.1 * sure  # slow responses do not
+    assert quick < 2.5 * 0.3 / 3  # of a warm server's share, with 0.3 of its capacity after 8 s
 
 
-def test_of_many_nodes_few_send_to_a_server_at_once_when_it_comes_back() -> None:
+def test_few_of_many_nodes_send_to_a_server_at_once_when_it_is_uncordoned() -> None:
     first = 0
     for seed in range(200):
         stage = Stage(settings(group_size=200), seed=seed, servers=4)
@@ -345,8 +347,8 @@
     assert first < 20
 
 
-def test_a_cold_server_gets_the_next_when_it_has_answered_the_last() -> None:
-    """What waits for answers can't tip it; of many nodes, or after a failure, its age alone counts."""
+def test_a_cold_server_gets_its_next_request_after_the_last_response() -> None:
+    """Waiting for responses can't overload it; with many nodes, or after a failure, only its age counts."""
     got = {}
     for nodes, result in ((2, Result.OK), (400, Result.OK), (2, Result.RESET)):
         stage = Stage(
@@ -358,7 +360,7 @@
         for other in range(1, 4):
             stage.give(Cordon(other))
         sent = 0
-        for _ in range(300):  # nobody else is there: it gets what it may
+        for _ in range(300):  # no other server is left, so it gets all that it may
             for number, attempt in list(stage.open):
                 stage.outcome(number, attempt, result)
             assert len(stage.open) <= 2
--- a/tests/test_member_list.py
+++ b/tests/test_member_list.py
@@ -1,4 +1,4 @@
-"""Lists as they come from discovery: what can be read of them holds."""
+"""Parsing of discovery's lists: every readable entry and field is applied."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from flaxstep.routing.interface import ListKind, State
 
 NOW, UNIX_OFFSET = 5000.0, 1_700_000_000_000.0
-GOOD: dict[str, Any] = {
+VALID_FIELDS: dict[str, Any] = {
     "hostPort": "10.0.0.1:9000",
     "zone": "a",
     "machineType": "m",
@@ -33,7 +33,7 @@
 
 
 def entry(name: str, **changes: Any) -> dict[str, Any]:
-    return {"instanceId": name} | GOOD | changes
+    return {"instanceId": name} | VALID_FIELDS | changes
 
 
 def listing(*instances: Any, generation: Any = 1, reset: Any = True) -> dict[str, Any]:
@@ -44,27 +44,27 @@
     return {endpoint.name: endpoint.entry.state for endpoint in read.endpoints}
 
 
-JUNK: list[Any] = [None, True, "soon", [], {}, -1.0, float("nan"), float("inf"), 10**400, "\udc80"]
+INVALID_VALUES: list[Any] = [None, True, "soon", [], {}, -1.0, float("nan"), float("inf"), 10**400, "\udc80"]
 
 
-@pytest.mark.parametrize("value", JUNK, ids=range(len(JUNK)))
-@pytest.mark.parametrize("key", sorted(GOOD))
-def test_a_field_that_cannot_be_read_costs_no_other_entry(key: str, value: Any) -> None:
+@pytest.mark.parametrize("value", INVALID_VALUES, ids=range(len(INVALID_VALUES)))
+@pytest.mark.parametrize("key", sorted(VALID_FIELDS))
+def test_an_invalid_field_does_not_affect_other_entries(key: str, value: Any) -> None:
     read = reader().read(listing(entry("s-1", **{key: value}), entry("s-2", lifecycle="leaving")), None)
     assert states(read)["s-2"] is State.DRAINING
     assert read.version == 1
 
 
-@pytest.mark.parametrize("key", sorted(GOOD.keys() - {"lifecycle"}))
+@pytest.mark.parametrize("key", sorted(VALID_FIELDS.keys() - {"lifecycle"}))
 @pytest.mark.parametrize("word", ["leaving", "left"])
-def test_that_an_endpoint_drains_is_read_whatever_else_its_entry_says(word: str, key: str) -> None:
+def test_the_lifecycle_is_read_even_if_another_field_is_invalid(word: str, key: str) -> None:
     lists = reader()
     lists.read(listing(entry("s-1")), None)
     read = lists.read(listing(entry("s-1", lifecycle=word, **{key: None}), generation=2, reset=False), None)
     assert states(read)["s-1"] is (State.DRAINING if word == "leaving" else State.GONE)
 
 
-def test_what_cannot_be_read_stays_as_it_was() -> None:
+def test_invalid_fields_keep_their_previous_values() -> None:
     lists = reader()
     (old,) = lists.read(listing(entry("s-1")), None).endpoints
     damaged = entry("s-1", hostPort=7, weight=None, startedAtMs="x")
@@ -72,14 +72,16 @@
 
 
 @pytest.mark.parametrize(("lifecycle", "state"), [(None, State.READY), ("starting", State.DRAINING)])
-def test_an_unknown_state_is_not_active_and_none_is_no_news(lifecycle: Any, state: State) -> None:
+def test_an_unknown_lifecycle_is_not_active_and_a_missing_one_changes_nothing(
+    lifecycle: Any, state: State
+) -> None:
     lists = reader()
     lists.read(listing(entry("s-1")), None)
     read = lists.read(listing(entry("s-1", lifecycle=lifecycle), generation=2), None)
     assert states(read) == {"s-1": state}
 
 
-def test_a_start_that_cannot_be_read_counts_as_cold() -> None:
+def test_an_invalid_start_time_counts_as_cold() -> None:
     (endpoint,) = reader().read(listing(entry("s-1", startedAtMs="x")), None).endpoints
     assert endpoint.entry.started == NOW
 
@@ -87,18 +89,18 @@
 @pytest.mark.parametrize(
     ("line", "whole"),
     [(listing({}, entry("s-2"), generation=2), False), (listing(entry("s-2"), generation=None), False)],
-    ids=["an entry that names nobody", "no version"],
+    ids=["an entry without an id", "no version"],
 )
-def test_a_line_that_may_leave_something_out_takes_nobody_out(line: Any, whole: bool) -> None:
+def test_an_incomplete_line_removes_no_endpoint(line: Any, whole: bool) -> None:
     lists = reader()
     lists.read(listing(entry("s-1")), None)
     read = lists.read(line, ListKind.FULL if whole else None)
-    assert (read.kind, read.version) == (ListKind.DELTA, None)  # the whole list is fetched
+    assert (read.kind, read.version) == (ListKind.DELTA, None)  # the full list has to be requested
     assert states(read) == {"s-2": State.READY}
 
 
 @pytest.mark.parametrize("raw", [None, [], {}, {"instances": 7}, listing(reset="yes")], ids=range(5))
-def test_what_is_no_list_is_refused(raw: Any) -> None:
+def test_anything_but_a_list_is_rejected(raw: Any) -> None:
     with pytest.raises(ValueError):
         reader().read(raw, None)
 
@@ -111,7 +113,7 @@
     assert caplog.messages == ["discovery: s-1: weight is 'None'; the other entries are applied"]
 
 
-def test_an_older_list_takes_no_drain_back_but_a_later_one_or_a_restart_does() -> None:
+def test_a_drain_is_ended_by_a_later_list_or_a_restart_but_not_by_an_older_list() -> None:
     lists = reader()
     lists.read(listing(entry("s-1"), entry("s-2"), generation=5), None)
     lists.read(listing(entry("s-1", lifecycle="leaving"), generation=7, reset=False), None)
@@ -131,24 +133,26 @@
 )
 
 
-@given(st.lists(st.dictionaries(st.sampled_from(["instanceId", *GOOD]), json_values), max_size=4))
-def test_no_entry_hides_the_drain_beside_it(others: list[dict[str, Any]]) -> None:
+@given(st.lists(st.dictionaries(st.sampled_from(["instanceId", *VALID_FIELDS]), json_values), max_size=4))
+def test_no_entry_hides_the_drain_of_another(others: list[dict[str, Any]]) -> None:
     lists = reader()
     lists.read(listing(entry("s-1")), None)
     line = json.loads(json.dumps(listing(*others, entry("s-1", lifecycle="leaving"), generation=2)))
     assert states(lists.read(line, None))["s-1"] is State.DRAINING
 
 
-@pytest.mark.parametrize("told", ["leaving", "left", "not named"])
+@pytest.mark.parametrize("announced", ["leaving", "left", "not named"])
 @pytest.mark.parametrize("step", [-17_000.0, 0.0, 3_600_000.0])
-def test_an_older_list_takes_no_drain_back_whatever_the_wall_clock_does(told: str, step: float) -> None:
-    """The start that the older list tells is the one known before, also where Unix time has been stepped."""
+def test_an_older_list_ends_no_drain_whatever_the_wall_clock_does(announced: str, step: float) -> None:
+    """The start in the older list is recognised as the known one, even after a step of the wall clock."""
     times = {"unix": UNIX_OFFSET + NOW, "monotonic": NOW}
     clock = WallClock(lambda: times["unix"], lambda: times["monotonic"])
     lists = MemberListReader({"a": 0}, {"m": 0}, clock, stable_id)
     lists.read(listing(entry("s-1"), entry("s-2")), ListKind.FULL)
-    news = [entry("s-2")] if told == "not named" else [entry("s-1", lifecycle=told), entry("s-2")]
-    lists.read(listing(*news, generation=3), ListKind.FULL)
+    instances = (
+        [entry("s-2")] if announced == "not named" else [entry("s-1", lifecycle=announced), entry("s-2")]
+    )
+    lists.read(listing(*instances, generation=3), ListKind.FULL)
     lists.read(listing(entry("s-2"), generation=4), ListKind.FULL)
     times["unix"] += 30_000.0 + step
     times["monotonic"] += 30_000.0
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics at the operators' door against what clients and servers saw."""
+"""The metrics at the admin port, compared with what clients and servers saw."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return found
 
 
-def test_every_figure_of_the_page_is_there_from_the_start() -> None:
+def test_every_documented_metric_is_reported_from_the_start() -> None:
     async def test() -> None:
         async with running(await Peer().start(), await Peer().start(), admin=DOOR) as stand:
             zero = {f"results.{c}.{o}": 0 for c in CLASSES for o in ("succeeded", "declined", "aborted")}
@@ -38,7 +38,7 @@
     run(test())
 
 
-def test_the_lines_are_in_statsd_form() -> None:
+def test_lines_have_the_statsd_format() -> None:
     metrics = Metrics(["find"])
     for status in (200, 503, 429, 502, 500):
         metrics.record_outcome(0, status)
@@ -51,7 +51,7 @@
     ]
 
 
-def test_outcomes_count_once_for_their_class_and_attempts_each() -> None:
+def test_an_outcome_is_counted_once_for_its_class_and_each_attempt_as_a_forward() -> None:
     full = answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
     async def test() -> None:
@@ -66,7 +66,7 @@
             for peer in peers:
                 peer.script = full
             assert (await client.ask(request("find")))[0] == 503
-            assert (await client.ask(request(Request_ID="twice")))[0] == 400  # improper: counts nowhere
+            assert (await client.ask(request(Request_ID="twice")))[0] == 400  # malformed: not counted
             found = await stats(stand)
             assert found["results.book.succeeded"] == 8
             assert found["results.pay.aborted"] == 1
@@ -77,7 +77,7 @@
     run(test())
 
 
-def test_what_is_held_or_waits_its_turn_is_outstanding_until_it_ends() -> None:
+def test_pending_and_pipelined_requests_are_outstanding_until_they_end() -> None:
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -104,7 +104,7 @@
     run(test())
 
 
-def test_servers_are_discovered_while_listed() -> None:
+def test_servers_count_as_discovered_while_listed() -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(3)]
         async with running(*peers, admin=DOOR) as stand:
@@ -116,7 +116,7 @@
     run(test())
 
 
-def test_a_server_that_rests_for_every_class_is_avoided_and_one_that_serves_some_is_not() -> None:
+def test_a_server_is_avoided_only_while_it_is_ejected_for_every_class() -> None:
     policy = Policy(settings(), 1)
     policy.handle(0.0, ServerList(ListKind.CACHED, 1, [server(i) for i in range(8)]))
     for cls, health in enumerate(policy.servers[3].health):
@@ -133,7 +133,7 @@
     return found
 
 
-def test_each_server_has_its_answers_by_class_and_what_is_out() -> None:
+def test_results_are_reported_by_server_and_class_with_cordons() -> None:
     full = answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
     async def test() -> None:
@@ -156,7 +156,7 @@
     run(test())
 
 
-def test_what_is_out_is_told_and_a_restart_begins_anew() -> None:
+def test_attempts_in_flight_are_reported_and_a_restart_resets_the_counts() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer, admin=DOOR) as stand:
@@ -183,12 +183,12 @@
     run(test())
 
 
-def test_a_bucket_is_a_fourth_of_an_octave_and_the_last_holds_the_rest() -> None:
+def test_four_buckets_double_the_response_time_and_the_last_has_the_rest() -> None:
     metrics = ServerMetrics(["find"])
     metrics.add_server(1, "s-1", 0.0)
     for took in (0.0, 1.0, 3.0, 100.0, 1e9):
         metrics.record_attempt(1, 0, Result.OK, took)
-    metrics.record_attempt(2, 0, Result.OK, 1.0)  # not listed any more: nobody asks for it
+    metrics.record_attempt(2, 0, Result.OK, 1.0)  # not listed, so not counted
     buckets = json.loads(metrics.report({}, set()))["s-1"]["classes"]["find"]["took"]
     assert buckets == [[0, 1], [4, 1], [8, 1], [26, 1], [63, 1]]
     for took, (bucket, _) in zip((0.0, 1.0, 3.0, 100.0), buckets, strict=False):
--- a/tests/test_syscalls.py
+++ b/tests/test_syscalls.py
@@ -1,4 +1,4 @@
-"""System calls of a node's process fail as Linux documents; a shim in C sees those of uvloop too."""
+"""Injects documented errors of Linux system calls into a node process, by a preloaded C library."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE])
-def test_a_shortage_at_the_start_delays_a_node_and_does_not_end_it(
+def test_a_resource_shortage_delays_the_start_of_a_node_but_does_not_end_it(
     tmp_path: Path, shim: Path, error: int
 ) -> None:
     async def test() -> None:
@@ -50,20 +50,20 @@
     uvloop.run(test())
 
 
-ACCEPT = [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-CONNECT = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENOBUFS, errno.ETIMEDOUT]
+ACCEPT_ERRORS = [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+CONNECT_ERRORS = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENOBUFS, errno.ETIMEDOUT]
 
 
 @pytest.mark.parametrize(
     "faults",
-    [f"accept4:{error}:3:40" for error in ACCEPT]
-    + [f"connect:{error}:4:12" for error in CONNECT]
+    [f"accept4:{error}:3:40" for error in ACCEPT_ERRORS]
+    + [f"connect:{error}:4:12" for error in CONNECT_ERRORS]
     + [f"socket:{error}:8:16" for error in (errno.ENOBUFS, errno.EMFILE, errno.ENFILE)],
 )
-def test_while_system_calls_fail_each_request_that_is_read_has_its_answer(
+def test_every_request_that_is_read_gets_a_response_while_system_calls_fail(
     tmp_path: Path, shim: Path, faults: str
 ) -> None:
-    """A connection may be closed unread; what it asks then comes on another, and the node recovers."""
+    """A connection may be closed before its request is read; later requests succeed on other connections."""
 
     async def ask(port: int) -> int | None:
         with suppress(OSError, asyncio.IncompleteReadError):
@@ -83,7 +83,7 @@
             answers = [await ask(port) for _ in range(40)]
             assert set(answers) <= {200, 502, 503, None}
             assert answers[-1] == 200 and answers.count(200) > 10
-            # What never went out to a server is refused, so that trying again is harmless.
+            # A request that was never sent to a server is refused, so that a retry is safe.
             assert 502 not in answers
             assert node.returncode is None
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A second process of a node starts beside the first: nothing is lost, and nothing is taken too soon."""
+"""Upgrade of a node by a second process: no request is lost, and none is accepted too early."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def prepare(folder: Path) -> tuple[Path, int, dict[str, str]]:
-    """A configuration with a server that serves, the clients' port in it, and what else a process is told."""
+    """Write a configuration with one server; return its path, the clients' port and more variables."""
     peer = await Peer().start()
     agent = await Agent([peer.entry()]).start()
     port = free_port()
@@ -42,28 +42,28 @@
     return path, port, {"TMPDIR": str(folder), "ROUTER_ADMIN_ADDR": "127.0.0.1:0"}
 
 
-def test_a_successor_takes_over_and_nothing_is_lost(tmp_path: Path) -> None:
+def test_a_successor_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
     async def test() -> None:
         path, port, environ = await prepare(tmp_path)
-        served, crossed, over = [0], [0], asyncio.Event()
+        served, unread, stopped = [0], [0], asyncio.Event()
 
         async def ask() -> None:
-            while not over.is_set():
+            while not stopped.is_set():
                 try:
                     client = Client(*await asyncio.open_connection("127.0.0.1", port))
                     assert (await client.ask(request()))[0] == 200
                 except (ConnectionError, asyncio.IncompleteReadError):
-                    # Closed before the request was read: clients then send it once more. A late loop, or the
-                    # closing of the old listener, may do that to two in an upgrade (DAYS), not to more.
-                    crossed[0] += 1
-                    assert crossed[0] <= 2
+                    # Closed before the request was read: clients then send it again. In an upgrade, a late
+                    # event loop or the closing of the old listener may cause this twice (DAYS), but no more.
+                    unread[0] += 1
+                    assert unread[0] <= 2
                     continue
                 served[0] += 1
                 client.writer.close()
 
         async with AsyncExitStack() as stack:
             old, _ = await stack.enter_async_context(started(path, environ))
-            asking = asyncio.create_task(ask())  # one at a time: four at once are overload to one server
+            asking = asyncio.create_task(ask())  # one at a time: four would overload the only server
             new, _ = await stack.enter_async_context(started(path, environ))
             await wait_for_line(old, "another process of this node is running")
             old.send_signal(signal.SIGTERM)
@@ -71,23 +71,25 @@
             await wait_for_line(new, "this is the node's only process again")
             before = served[0]
             await until(lambda: served[0] > before + 20)
-            over.set()
-            await asking  # none was refused or left alone, and hardly one met a closing connection
+            stopped.set()
+            await asking  # none was refused or unanswered, and few met a closing connection
             assert new.returncode is None
 
     uvloop.run(test())
 
 
-def test_a_successor_that_gets_no_list_leaves_the_old_process_serving(tmp_path: Path) -> None:
+def test_a_successor_without_a_list_leaves_the_old_process_serving(tmp_path: Path) -> None:
     async def test() -> None:
         path, port, environ = await prepare(tmp_path)
         async with AsyncExitStack() as stack:
             old, _ = await stack.enter_async_context(started(path, environ))
-            with socket.socket() as deaf:  # takes calls and never answers
-                deaf.bind(("127.0.0.1", 0))
-                deaf.listen()
-                astray = environ | {"ROUTER_DISCOVERY": f"127.0.0.1:{deaf.getsockname()[1]}"}
-                new, _ = await stack.enter_async_context(started(path, astray, wait=False))
+            with socket.socket() as silent_socket:  # accepts connections and never responds
+                silent_socket.bind(("127.0.0.1", 0))
+                silent_socket.listen()
+                silent_discovery = environ | {
+                    "ROUTER_DISCOVERY": f"127.0.0.1:{silent_socket.getsockname()[1]}"
+                }
+                new, _ = await stack.enter_async_context(started(path, silent_discovery, wait=False))
                 await wait_for_line(old, "another process of this node is running")
                 for _ in range(40):  # a second listener would get half of them
                     client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -107,7 +109,7 @@
         async with running(await Peer().start(), admin=DOOR) as stand:
             assert stand.node.client_listener is not None
             address = stand.node.client_listener.sockets[0].getsockname()
-            queued = [socket.create_connection(address) for _ in range(5)]  # the loop has not seen them
+            queued = [socket.create_connection(address) for _ in range(5)]  # not accepted yet
             stand.node.listener.stop()
             for connection in queued:
                 connection.setblocking(False)
@@ -119,7 +121,7 @@
     run(test())
 
 
-def test_two_processes_halve_what_each_may_hold(tmp_path: Path) -> None:
+def test_two_processes_halve_the_limits_of_each(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as old:
@@ -135,13 +137,13 @@
                     assert (stand.node.listener.limit, stand.node.pool.max_connections) == half
                 assert 2 * sum(half) <= sum(whole)
                 assert len(old.node.listener.connections) <= half[0]
-                assert (await clients[-1].ask(request()))[0] == 200  # the longest idle have made room
+                assert (await clients[-1].ask(request()))[0] == 200  # those idle for longest were closed
             await until(lambda: (old.node.listener.limit, old.node.pool.max_connections) == whole)
 
     run(test())
 
 
-def test_without_a_door_a_second_process_is_refused_the_address() -> None:
+def test_without_an_admin_port_a_second_process_can_not_listen() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert stand.node.client_listener is not None
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock change no span: slow start and the return of a cordoned endpoint."""
+"""Steps of the wall clock change neither the slow start nor the return time of a cordoned endpoint."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("everywhere", [False, True], ids=["this machine", "all machines"])
 @pytest.mark.parametrize("step", [HOUR, 7000.0, -7000.0, -HOUR])
-def test_an_endpoint_that_starts_after_a_step_is_cold_from_its_start_to_when_it_is_listed(
+def test_an_endpoint_that_starts_after_a_step_is_cold_when_it_is_listed(
     step: float, everywhere: bool
 ) -> None:
     clocks = Clocks()
@@ -54,13 +54,13 @@
     clocks.unix += step
     if everywhere:
         theirs += step
-    clocks.wait(2000.0)  # discovery tells of it a while later
+    clocks.wait(2000.0)  # until discovery lists it
     (endpoint,) = lists.read(listing(1, theirs), None).endpoints
     assert clocks.monotonic - 2000.0 <= endpoint.entry.started <= clocks.monotonic
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_what_is_known_of_a_start_outlives_a_step(step: float) -> None:
+def test_a_known_start_is_not_changed_by_a_step(step: float) -> None:
     clocks = Clocks()
     lists = MemberListReader({}, {}, clocks.wall_clock(), stable_id)
     started_at = clocks.unix - 3000.0
@@ -71,7 +71,7 @@
     assert after == before
 
 
-def test_a_step_is_told_once() -> None:
+def test_a_step_is_reported_once() -> None:
     clocks = Clocks()
     clock = clocks.wall_clock()
     clocks.unix += HOUR
@@ -79,22 +79,22 @@
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_the_moment_of_a_return_reaches_a_successor_through_a_step(
+def test_a_successor_gets_the_return_time_in_spite_of_a_step(
     step: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clocks = Clocks()
     monkeypatch.setattr(time, "time", lambda: clocks.unix / 1000)
     seen: list[float] = []
-    old = SharedState(tmp_path, "n0", lambda before, shared: None)
+    old = SharedState(tmp_path, "n0", lambda before, state: None)
     old.start()
     at = time.monotonic() * 1000
     old.apply_change(lambda state: state.with_returned("s-1", old.record_return("s-1", at), set()))
     clocks.unix += step
 
-    def take(before: OperatorState, shared: OperatorState) -> None:
-        seen.extend(new.return_time(name, unix) for name, unix in shared.returned.items())
+    def record_returns(before: OperatorState, state: OperatorState) -> None:
+        seen.extend(new.return_time(name, unix) for name, unix in state.returned.items())
 
-    new = SharedState(tmp_path, "n0", take)
+    new = SharedState(tmp_path, "n0", record_returns)
     new.start()
     assert seen == [at]
     old.close()
@@ -102,14 +102,14 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b'{"s-1": 7}', b'{"s-1": [1]}', b'{"s-1": ["a", 2]}'])
-def test_moments_that_cannot_be_read_leave_unix_time(
+def test_unix_times_are_used_if_the_moments_file_is_malformed(
     data: bytes, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    old = SharedState(tmp_path, "n0", lambda before, shared: None)
+    old = SharedState(tmp_path, "n0", lambda before, state: None)
     now = time.monotonic() * 1000
     old.apply_change(lambda state: state.with_returned("s-1", old.record_return("s-1", now), set()))
     old.moments_file.write_bytes(data)
-    new = SharedState(tmp_path, "n0", lambda before, shared: None)
+    new = SharedState(tmp_path, "n0", lambda before, state: None)
     new.start()
     (unix,) = new.state.returned.values()
     assert new.return_time("s-1", unix) == pytest.approx(now, abs=2000.0)
