--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -380,12 +380,12 @@
         if reach is Reach.CONFIRMED:
             self.told.set()
         lease, now = self.policy.lease, now_ms()
-        held, before = lease.valid(now), lease.expires - now
+        held, before = lease.is_valid(now), lease.expires - now
         self.tell(DiscoveryReach(reach, since))
         left = lease.expires - now
         if reach is not Reach.CONFIRMED or not held:  # a line for each beat of a watch would hide the rest
             log.info("list lease: %s; %.3f s left, %.3f before", reach.value, left / 1000, before / 1000)
-        if held != lease.valid(now_ms()):
+        if held != lease.is_valid(now_ms()):
             log.info("the list %s: discovery is %s", "has run out" if held else "holds again", reach.value)
 
     # From operators.
@@ -418,7 +418,7 @@
         if self.config.settings.ask_for_list or self.told.is_set():
             return True
         age = self.loop.time() - self.born
-        return age >= START_MOST or (age >= FIRST_LIST and self.policy.lease.valid(now_ms()))
+        return age >= START_MOST or (age >= FIRST_LIST and self.policy.lease.is_valid(now_ms()))
 
     def tell_health(self, _: bytes) -> Reply:
         if self.ready:
@@ -428,7 +428,7 @@
         return 503, "quiesced" if self.quiesced else "starting"
 
     def report(self, _: bytes) -> Reply:
-        avoided = self.listed & self.policy.avoided(now_ms())
+        avoided = self.listed & self.policy.find_avoided_servers(now_ms())
         gauges = {
             "outstanding": sum(not held.uploading for held in self.held.values()) + self.listener.waiting(),
             "discovered": len(self.listed),
--- a/flaxstep/simulator/simulation.py
+++ b/flaxstep/simulator/simulation.py
@@ -527,7 +527,21 @@
 def believed(process: SimulatedNode) -> dict[str, float]:
     """What a node's module believes, where it has such figures."""
     policy = process.policy
-    names = ("in_flight", "need", "x", "cut", "errors", "rate", "best_rate", "mean", "least", "warm")
-    found = {name: getattr(policy, name, None) for name in names}
+    attributes = {  # by the names under which they are written out, which modules of older revisions use
+        "in_flight": "in_flight_average",
+        "need": "needed_in_flight",
+        "x": "overload",
+        "cut": "cut",
+        "errors": "error_share",
+        "rate": "timely_rate",
+        "best_rate": "best_timely_rate",
+        "mean": "mean_response_ms",
+        "least": "fastest_mean_ms",
+        "warm": "warm_servers",
+    }
+    found = {
+        name: getattr(policy, attribute, getattr(policy, name, None))
+        for name, attribute in attributes.items()
+    }
     figures = {name: round(float(value), 4) for name, value in found.items() if value is not None}
     return figures | {"held": float(len(process.held))}
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -352,9 +352,13 @@
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(taker.ended.wait(), WAIT)
             assert not stand.node.held and not stand.node.pool.attempts and stand.node.body_budget.bodies == 0
-            server = stand.node.policy.servers[stable_id(b"s-1")]
-            assert not any(health.fails for health in server.health)
-            assert not server.open and not server.uploads and stand.node.policy.flying == 0
+            server = stand.node.policy.endpoints[stable_id(b"s-1")]
+            assert not any(health.failure_share for health in server.health)
+            assert (
+                not server.open_attempts
+                and not server.uploading_attempts
+                and stand.node.policy.in_flight_now == 0
+            )
 
     run(test())
 
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -50,7 +50,7 @@
         change()
         got = targets(stage, 60)
         assert len(got) == 60 and 3 not in got
-        assert stage.policy.avoided(stage.now) == {3}
+        assert stage.policy.find_avoided_servers(stage.now) == {3}
 
 
 def test_a_retry_or_a_repeat_in_a_rack_passes_over_a_server_that_is_out() -> None:
@@ -131,7 +131,7 @@
                 while peers[0].requests.qsize() == before:
                     assert (await client.ask(request()))[0] == 200
             assert (await stats(stand))["ejected"] == 0
-            assert stand.node.policy.returned.keys() == {stable_id(b"s-1")}
+            assert stand.node.policy.uncordoned_at.keys() == {stable_id(b"s-1")}
 
     run(test())
 
@@ -168,14 +168,14 @@
                 await until(lambda: old.node.policy.cordoned == ids)
                 assert (await old.call("POST", "uncordon", b"s-1"))[0] == 200
                 await until(lambda: new.node.policy.cordoned == {stable_id(b"s-2")})
-                at = old.node.policy.returned[stable_id(b"s-1")]
-                assert new.node.policy.returned[stable_id(b"s-1")] == pytest.approx(at, abs=50.0)
+                at = old.node.policy.uncordoned_at[stable_id(b"s-1")]
+                assert new.node.policy.uncordoned_at[stable_id(b"s-1")] == pytest.approx(at, abs=50.0)
                 client = await new.client()
                 assert (await client.ask(request()))[0] == 200
                 assert (peers[0].requests.qsize(), peers[1].requests.qsize()) == (1, 0)
             async with running(*peers, admin=DOOR, shared=tmp_path) as third:
                 assert third.node.policy.cordoned == {stable_id(b"s-2")}
-                assert third.node.policy.returned.keys() == {stable_id(b"s-1")}  # cold for it too
+                assert third.node.policy.uncordoned_at.keys() == {stable_id(b"s-1")}  # cold for it too
 
     run(test())
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -388,8 +388,8 @@
                 send(action)
 
             stand.node.perform[Send] = spy
-            policy.pick = lambda job: policy.servers[  # type: ignore[method-assign]
-                stable_id(b"s-2" if job.tries else b"s-1")
+            policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
+                stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("book")))
@@ -417,7 +417,7 @@
             policy = stand.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             to = {"name": b"s-2"}
-            policy.pick = lambda job: policy.servers[stable_id(to["name"])]  # type: ignore[method-assign]
+            policy.choose_endpoint = lambda pending: policy.endpoints[stable_id(to["name"])]  # type: ignore[method-assign]
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200  # now a connection to the second rests
             to["name"] = b"s-1"
@@ -495,8 +495,8 @@
         async with running(peer, other, attempts=2) as stand:
             policy = stand.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
-            policy.pick = lambda job: policy.servers[  # type: ignore[method-assign]
-                stable_id(b"s-2" if job.tries else b"s-1")
+            policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
+                stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("pay")))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -23,18 +23,25 @@
     Uncordon,
     Wake,
 )
-from flaxstep.routing.policy import ERRORS_FROM, ERRORS_FULL, PRIOR, Policy
+from flaxstep.routing.policy import (
+    OVERLOAD_FULL_ERROR_SHARE,
+    OVERLOAD_START_ERROR_SHARE,
+    PRIOR_GOOD_ATTEMPTS,
+    Policy,
+)
 from tests.support import KEYED, SAFE, START, UNSAFE, Stage, server, settings
 
 
 def overload(stage: Stage, x: float) -> None:
     """Put the module under a given overload by its errors, and keep the next upkeep away."""
-    stage.policy.in_flight = stage.policy.flying = 0
-    stage.policy.seen = 1000.0
-    stage.policy.failed = (ERRORS_FROM + x * (ERRORS_FULL - ERRORS_FROM)) * (1000.0 + PRIOR)
-    stage.policy.set_bands()
-    stage.policy.set_cut(0.0)
-    stage.policy.upkeep_at = stage.now
+    stage.policy.in_flight_average = stage.policy.in_flight_now = 0
+    stage.policy.counted_attempts = 1000.0
+    stage.policy.failed_attempts = (
+        OVERLOAD_START_ERROR_SHARE + x * (OVERLOAD_FULL_ERROR_SHARE - OVERLOAD_START_ERROR_SHARE)
+    ) * (1000.0 + PRIOR_GOOD_ATTEMPTS)
+    stage.policy.update_score_bands()
+    stage.policy.update_cut(0.0)
+    stage.policy.last_upkeep_at = stage.now
 
 
 def sent_to(stage: Stage) -> list[int]:
@@ -79,8 +86,8 @@
     assert refused[0] == 0  # worth ten times the others
     assert refused[1] + refused[2] > 300
     assert min(waits) > 0 and max(waits) <= 2000.0
-    low = [stage.policy.refuse_wait(1.0) for _ in range(200)]
-    high = [stage.policy.refuse_wait(90.0) for _ in range(200)]
+    low = [stage.policy.choose_retry_after(1.0) for _ in range(200)]
+    high = [stage.policy.choose_retry_after(90.0) for _ in range(200)]
     assert min(low) > max(high)
 
 
@@ -279,7 +286,7 @@
         if stage.open:
             stage.outcome(number, 0, Result.ERROR if sent_to(stage)[-1] < 3 else Result.OK)
         if step > 100:  # they are known by then
-            worst = max(worst, stage.policy.errors)
+            worst = max(worst, stage.policy.error_share)
     assert stage.policy.cut == 0.0
     assert worst < 0.1
 
@@ -306,7 +313,7 @@
     for request, attempt in list(stage.open):
         if stage.attempts[request][attempt][1].id != stuck:
             stage.outcome(request, attempt, Result.OK)
-    stage.now += 5 * max(stage.policy.usual)
+    stage.now += 5 * max(stage.policy.usual_response_ms)
     for _ in range(3):
         stage.outcome(stage.request(due_in=5500.0), 0, Result.OK)
         stage.request(due_in=5500.0)
@@ -340,7 +347,7 @@
     stage = Stage(settings(classes=(replace(UNSAFE, deadline=1200.0, late_value=0.2),)), servers=4)
     lose_some(stage, 1000)
     assert len(stage.open) >= 5
-    assert stage.policy.in_flight < 2.0
+    assert stage.policy.in_flight_average < 2.0
 
 
 def test_lost_answers_and_early_resets_are_no_overload() -> None:
@@ -353,7 +360,7 @@
         early = step % 10 == 1  # and one in ten is reset at once
         stage.advance(0.5 if early else 10.0)
         stage.outcome(number, 0, Result.RESET if early else Result.OK, 0.5 if early else 10.0)
-    assert stage.policy.errors < 0.05
+    assert stage.policy.error_share < 0.05
     assert stage.policy.cut == 0.0
     assert "refused" not in stage.answers.values()
 
@@ -368,7 +375,7 @@
             stage.now += 15.0
             stage.outcome(number, 0, Result.OK, 15.0)
         stage.advance(0.0)
-    assert stage.policy.errors < ERRORS_FROM
+    assert stage.policy.error_share < OVERLOAD_START_ERROR_SHARE
     assert stage.policy.cut == 0.0
 
 
@@ -387,7 +394,7 @@
                 else:
                     stage.outcome(number, attempt, Result.OK, wait if busy else 10.0)
                 attempt += 1
-            worst = max(worst, stage.policy.errors)
+            worst = max(worst, stage.policy.error_share)
         assert (worst < 0.1) == calm, worst
 
 
@@ -509,10 +516,10 @@
         stage.now += 5
         number = stage.request()
         stage.outcome(number, 0, Result.ERROR if sent_to(stage)[-1] == 0 else Result.OK)
-    assert stage.policy.servers[0].health[0].rest_until > 0
+    assert stage.policy.endpoints[0].health[0].ejected_until > 0
     stage.list([replace(server(0), started=stage.now - 60_000.0)])
-    assert not stage.policy.servers[0].health[0].rest_until
-    assert stage.policy.servers[0].health[0].fails == 0.0
+    assert not stage.policy.endpoints[0].health[0].ejected_until
+    assert stage.policy.endpoints[0].health[0].failure_share == 0.0
 
 
 def test_same_events_same_actions_and_instances_share_nothing() -> None:
@@ -639,7 +646,7 @@
     # All six draws fell on the one resting server of four, and a request was refused for it.
     stage = Stage(settings(classes=(UNSAFE,)), servers=12)
     for sick in range(11):
-        stage.policy.servers[sick].health[0].rest_until = stage.now + 60_000.0
+        stage.policy.endpoints[sick].health[0].ejected_until = stage.now + 60_000.0
     for _ in range(50):
         stage.outcome(stage.request(), 0, Result.OK)
     assert set(sent_to(stage)) == {11}
@@ -663,7 +670,7 @@
     # A floor of one request a node let 600 nodes hold nine for each core (ib2adee, simulated).
     stage = Stage(settings(classes=(SAFE,), group_size=600), servers=60)
     feed(stage, 5, 30, 60.0)
-    assert stage.policy.need < 0.8
+    assert stage.policy.needed_in_flight < 0.8
     assert feed(stage, 5, 30, 60.0) == 0
 
 
@@ -779,7 +786,7 @@
             if (number, 0) in stage.open:
                 stage.now += 700.0 if step % 5 == 0 else 0.0
                 stage.outcome(number, 0, Result.OK, 700.0 if step % 5 == 0 else 60.0)
-        needs.append(stage.policy.need)
+        needs.append(stage.policy.needed_in_flight)
     assert needs[1] > 1.5 * needs[0]
 
 
@@ -789,16 +796,16 @@
     feed(stage, 50, 10)
     needs = []
     for errors in (0.04, 0.06):
-        stage.policy.errors = errors
-        stage.policy.learn_need(0.001)
-        needs.append(stage.policy.need)
+        stage.policy.error_share = errors
+        stage.policy.update_needed_in_flight(0.001)
+        needs.append(stage.policy.needed_in_flight)
     assert needs[1] > 0.85 * needs[0]
 
 
 def test_a_young_node_knows_its_rate_at_once() -> None:
     stage = Stage(settings(classes=(SAFE,), group_size=20), servers=8)
     feed(stage, 50, 1)
-    assert 0.6 < stage.policy.rate * 1000 / 50 < 1.4
+    assert 0.6 < stage.policy.timely_rate * 1000 / 50 < 1.4
 
 
 def test_further_attempts_fade_where_no_connections_are_made() -> None:
@@ -820,10 +827,10 @@
     for name in range(1, 40):
         stage.now += 100
         stage.list([server(name - 1, State.GONE), server(name)])
-    assert set(stage.policy.servers) == {0, 39}
+    assert set(stage.policy.endpoints) == {0, 39}
     stage.outcome(number, 0, Result.OK)
     stage.list([server(40)])
-    assert set(stage.policy.servers) == {39, 40}
+    assert set(stage.policy.endpoints) == {39, 40}
 
 
 def busy_traffic(stage: Stage, ms: int) -> None:
@@ -840,56 +847,56 @@
     stage = Stage(settings(), servers=8)
     policy = stage.policy
     busy_traffic(stage, 4000)
-    busy = policy.best_rate
+    busy = policy.best_timely_rate
     most = 0.0
     for _ in range(140):  # the same traffic as before, but no answer comes
         stage.request()
         stage.advance(5.0)
-        most = max(most, policy.in_flight)
-        assert policy.best_rate < 1.5 * busy  # none of it is a better rate
-    assert most > 2 * busy * policy.least  # so much was stuck
-    assert policy.x == 1.0
+        most = max(most, policy.in_flight_average)
+        assert policy.best_timely_rate < 1.5 * busy  # none of it is a better rate
+    assert most > 2 * busy * policy.fastest_mean_ms  # so much was stuck
+    assert policy.overload == 1.0
 
 
 def test_servers_that_are_taken_out_take_their_part_of_the_need_with_them() -> None:
     stage = Stage(settings(), servers=8)
     busy_traffic(stage, 4000)
-    before = stage.policy.need
+    before = stage.policy.needed_in_flight
     for out in range(4):
         stage.give(Cordon(out))
     busy_traffic(
         stage, 500
     )  # as much as before for the servers that are left: that is no proof that they can
-    assert stage.policy.need < 0.6 * before
+    assert stage.policy.needed_in_flight < 0.6 * before
     for out in range(4):
         stage.give(Uncordon(out, stage.now - 20_000.0))  # warm at once
     busy_traffic(stage, 100)
-    assert stage.policy.need > 0.9 * before
+    assert stage.policy.needed_in_flight > 0.9 * before
 
 
 def test_a_best_rate_that_slow_answers_belie_is_soon_forgotten() -> None:
     stage = Stage(settings(), servers=8)
     busy_traffic(stage, 4000)
-    best = stage.policy.best_rate
+    best = stage.policy.best_timely_rate
     for _ in range(500):  # half the traffic, since another node came back, and yet the answers are slow
         stage.request()
         for number, attempt in list(stage.open):
             if stage.now - stage.attempts[number][attempt][0] >= 140.0:
                 stage.outcome(number, attempt, Result.OK, 140.0)
         stage.advance(10.0)
-    assert stage.policy.mean > 2.0 * stage.policy.least
-    assert stage.policy.best_rate < 0.6 * best
+    assert stage.policy.mean_response_ms > 2.0 * stage.policy.fastest_mean_ms
+    assert stage.policy.best_timely_rate < 0.6 * best
 
 
 def test_servers_that_come_for_a_while_and_go_take_nothing_with_them() -> None:
     stage = Stage(settings(), servers=8)
     busy_traffic(stage, 4000)
-    before = stage.policy.need
+    before = stage.policy.needed_in_flight
     stage.list([server(i) for i in range(8, 16)])  # as in a release: the new ones come before the old ones go
     busy_traffic(stage, 1000)
     stage.list([server(i, State.GONE) for i in range(8, 16)])
     busy_traffic(stage, 200)
-    assert stage.policy.need > 0.8 * before
+    assert stage.policy.needed_in_flight > 0.8 * before
 
 
 def test_a_queue_well_within_the_wanted_time_is_no_overload() -> None:
@@ -920,4 +927,4 @@
     few, many = (Stage(settings(group_size=nodes), servers=8) for nodes in (3, 200))
     for stage in (few, many):
         busy_traffic(stage, 3000)
-    assert few.policy.need > 1.2 * many.policy.need
+    assert few.policy.needed_in_flight > 1.2 * many.policy.needed_in_flight
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -64,14 +64,14 @@
         policy.handle(1000.0 + 100 * step, event)  # type: ignore[arg-type]
         ready = {
             i: s.entry
-            for i, s in policy.servers.items()
+            for i, s in policy.endpoints.items()
             if s.entry.state is State.READY and i not in policy.cordoned
         }
-        assert set(policy.ready) == set(ready) == set(policy.ours)
-        assert sum(map(len, policy.alike.values())) == len(ready)
-        warm = max(sum(policy.cold_share(policy.servers[i]) for i in ready), 1.0)
-        assert abs(policy.warm - warm) < 1e-9
-        strengths = [policy.strength(policy.servers[i]) for i in ready]
-        assert abs(policy.mean_strength - sum(strengths) / max(1, len(ready))) < 1e-9
-        assert len(policy.ring) == sum(policy.ring_points(*policy.common(i)) for i in ready)
-        assert all(s.entry.state is not State.GONE for s in policy.servers.values())
+        assert set(policy.ready_servers) == set(ready) == set(policy.subset_servers)
+        assert sum(map(len, policy.ready_by_size_and_kind.values())) == len(ready)
+        warm = max(sum(policy.compute_cold_share(policy.endpoints[i]) for i in ready), 1.0)
+        assert abs(policy.warm_servers - warm) < 1e-9
+        strengths = [policy.compute_capacity(policy.endpoints[i]) for i in ready]
+        assert abs(policy.mean_capacity - sum(strengths) / max(1, len(ready))) < 1e-9
+        assert len(policy.ring) == sum(policy.count_ring_points(*policy.get_size_and_kind(i)) for i in ready)
+        assert all(s.entry.state is not State.GONE for s in policy.endpoints.values())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -46,7 +46,7 @@
 
 def play(lease: MembershipLease, steps: list[Step]) -> None:
     for at, reach, *since in steps:
-        lease.note(at, reach, since[0] if since else at)
+        lease.record_reach(at, reach, since[0] if since else at)
 
 
 @pytest.mark.parametrize(
@@ -113,8 +113,8 @@
     play(lease, steps)
     assert lease.expires == end
     if end < math.inf:
-        assert not lease.valid(end) and lease.valid(end - 1)
-        assert lease.send_within(end - 100) == 100 + GRACE / 2 < 100 + GRACE
+        assert not lease.is_valid(end) and lease.is_valid(end - 1)
+        assert lease.compute_send_window(end - 100) == 100 + GRACE / 2 < 100 + GRACE
 
 
 CALL_ENDS = st.sampled_from([RESET, DOWN, REFUSED, OWN, WAITING])
@@ -181,7 +181,7 @@
     pushed: bool, drawn: list[tuple[int, Reach, int]]
 ) -> None:
     lease, model, now = MembershipLease(settings(pushed)), PagesModel(pushed), 0.0
-    lease.note(now, CONFIRMED, now)
+    lease.record_reach(now, CONFIRMED, now)
     model.note(now, CONFIRMED, now)
     for wait, reach, took in drawn:
         now += wait
@@ -190,7 +190,7 @@
         if reach in (RESET, DOWN, REFUSED, OWN, WAITING) and model.watched:
             continue  # no call is made beside a watch
         since = max(now - took, now - wait) if reach in (REFUSED, WAITING) else now
-        lease.note(now, reach, since)
+        lease.record_reach(now, reach, since)
         model.note(now, reach, since)
         assert lease.expires <= model.told() + GRACE / 2
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -119,11 +119,11 @@
 def test_a_server_that_rests_for_every_class_is_avoided_and_one_that_serves_some_is_not() -> None:
     policy = Policy(settings(), 1)
     policy.handle(0.0, ServerList(ListKind.CACHED, 1, [server(i) for i in range(8)]))
-    for cls, health in enumerate(policy.servers[3].health):
-        assert not policy.avoided(10.0)
-        health.rest_until = 100.0 + cls
-    assert policy.avoided(10.0) == {3}
-    assert not policy.avoided(100.0)
+    for cls, health in enumerate(policy.endpoints[3].health):
+        assert not policy.find_avoided_servers(10.0)
+        health.ejected_until = 100.0 + cls
+    assert policy.find_avoided_servers(10.0) == {3}
+    assert not policy.find_avoided_servers(100.0)
 
 
 async def by_server(stand: Stand) -> dict[str, Any]:
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -229,7 +229,7 @@
     for key in range(1, 300):
         stage.outcome(stage.request(0, key=key), 0, Result.OK)
         stage.now += 100
-    assert len(stage.policy.turns) < 150
+    assert len(stage.policy.key_queues) < 150
 
 
 def test_server_that_restarts_under_its_own_id_is_cold_again() -> None:
