--- a/flaxstep/routing/policy.py
+++ b/flaxstep/routing/policy.py
@@ -1,7 +1,8 @@
-"""Every decision of the balancer. Its types, events and actions are in flaxstep/routing/interface.py.
+"""All routing decisions; the settings, events and actions are in flaxstep/routing/interface.py.
 
-A request is scored by worth on arrival. Under measured overload x those scored below 100 * x**3 are refused;
-the rest go to a random idle-looking server of a small draw; what counts as idle rises with the load.
+Each request gets a score by its worth on arrival. Under a measured overload x (0 to 1), requests scored below
+100 * x**3, the cut, are refused. Each other request goes to an idle server among a few random candidates;
+if none is idle, to one of the least loaded.
 """
 
 from __future__ import annotations
@@ -47,128 +48,104 @@
 )
 from flaxstep.routing.membership import MembershipLease
 
-UPKEEP_INTERVAL_MS = 50.0  # ms between refreshes of shares and overload; far below any aim
-COUNTS_HALF_LIFE_MS = 5000.0  # ms after which counts of offered work and keys are halved
-OVERLOAD_START_ERROR_SHARE, OVERLOAD_FULL_ERROR_SHARE = (
-    0.1,
-    0.4,
-)  # share of failed attempts where overload begins, and where it is 1
-MAX_RESPONSE_SHARE_OF_AIM, MAX_RESPONSE_MULTIPLE_OF_FASTEST = (
-    0.3,
-    1.7,
-)  # answers may take that part of the shortest wanted time, or so many times the
-# quickest, before they are overload: what waits beyond slows servers down for long
-OVERLOAD_START_IN_FLIGHT_MULTIPLE, OVERLOAD_FULL_IN_FLIGHT_MULTIPLE = (
-    0.9,
-    1.4,
-)  # overload begins and is 1 at these multiples of a fleet's need,
-NEW_QUEUE_FULL_IN_FLIGHT_MULTIPLE = (
-    2.0  # and at this one while it is new: then all is refused at 0.9 of the wanted time
-)
-QUEUE_TOLERANCE_WINDOW_MS = (
-    6000.0  # ms: a queue bridges a change, but one that stands serves nothing, and fills servers up
-)
-ERROR_WINDOW_MS, ERROR_WINDOW_ATTEMPTS = (
-    4000.0,
-    33.0,
-)  # the error share looks back over so many ms and so many attempts
-PRIOR_GOOD_ATTEMPTS = (
-    4.0  # attempts taken as good beside those seen: a few that fail by chance are no overload
-)
-RATE_WINDOW_MS, BEST_RATE_DECAY_MS = (
-    2000.0,
-    20000.0,
-)  # ms to average the rate of timely answers, and to forget its best
-MEAN_WINDOW_RESPONSES = 60.0  # their mean time reaches back over this many, or over RATE_TIME if that is more
-FASTEST_MEAN_DOUBLING_MS = (
-    100000.0  # ms in which the quickest mean time would double: it can follow slower work
-)
-FAST_BELOW_MULTIPLE = 1.3  # answers are quick while their mean time is under this multiple of the quickest
-SLOW_FROM_MULTIPLE = 2.0  # and so slow from this multiple on that the best is not to be had any more
-MAX_GROWTH_FACTOR = (
-    1.5  # how far over the best seen may be tried, while next to nothing fails and no servers lack
-)
-MAX_MISSING_SERVER_SHARE = (
-    0.2  # the part of the servers without which half of that is tried, and growth proves nothing
-)
-IN_FLIGHT_WINDOW_MS = 4000.0  # ms to average in-flight over, divided by the need
-CANDIDATES = 6  # servers looked at for an idle one
-MAX_IDLE_LOAD = (
-    1.15  # a server of usual pace counts as idle while what it had and holds of ours weighs under this
-)
-MAX_MULTIPLE_OF_LEAST_LOAD = 1.1  # where none does, under this multiple of the least of the draw
-KEY_SPREAD_FACTOR = 2.0  # servers that share a key, for each mean server's worth of traffic that it draws
-EJECTION_FAILURE_SHARE = 0.4  # recent failures of a server, over twice those of all, above which it rests
-RING_POINTS_PER_SERVER = 16  # places of a server on the key ring: evens out the shares
-BASE_EJECTION_MS = 2000.0  # ms a suspect rests before one trial
-MAX_EJECTED_SHARE = 0.34  # never rest more servers than this part of our stretch: then the trouble is shared
-SUBSETTING_BELOW_REQUESTS_PER_SERVER = (
-    0.2  # requests a server below which a node's own hold tells too little of the whole fleet
-)
-NODES_PER_SUBSET = (
-    6  # nodes that then share a stretch: fewer know more of its servers, but its keys are colder
-)
-MIN_SUBSET = 8  # servers in a stretch at least: enough to tell good from bad
-SLOWNESS_SMOOTHING = (
-    0.15  # weight of one answer in a server's pace: work differs more from request to request
-)
-STALLED_AFTER_MULTIPLE = (
-    4.0  # an attempt open for this multiple of the usual time marks its server as stalled
-)
-COLD_LOAD_SHARE = (
-    0.8  # of what a cold server could do by its age, what we send: peers' keys are warm, its own not
-)
-COLD_SHARE_OF_TIP_MULTIPLE = (
-    0.6  # and while it is quick, of what would tip it, by what its warm peers answer now
-)
-MAX_COLD_OPEN_ATTEMPTS = (
-    2  # attempts that a node may have out at a cold server that answers: each asks for the next
-)
-FIRST_REQUESTS_AFTER_UNCORDON = (
-    4.0  # requests that a server gets at once when it is called back, from all nodes together
-)
-SUBSCRIBE_TOKEN = 1 << 60  # token of the timer that asks for the list; the others' are ids of held requests
-SERVER_RESPONDED = frozenset({Result.OK, Result.ERROR, Result.FULL})  # the server itself has spoken
+UPKEEP_INTERVAL_MS = 50.0  # far below any aim
+COUNTS_HALF_LIFE_MS = 5000.0  # for counts of offered requests, keys and attempts per server
+
+# Admission. Overload starts at the START value of a pair and is 1 at the FULL value.
+OVERLOAD_START_ERROR_SHARE, OVERLOAD_FULL_ERROR_SHARE = 0.1, 0.4  # of the recent attempts
+# A response may take this share of the shortest aim, and this multiple of the fastest mean response time,
+# before it counts as overload. A longer queue slows servers down for a long time.
+MAX_RESPONSE_SHARE_OF_AIM, MAX_RESPONSE_MULTIPLE_OF_FASTEST = 0.3, 1.7
+# Requests in flight, as multiples of the number that the fleet needs in flight when it is busy.
+OVERLOAD_START_IN_FLIGHT_MULTIPLE, OVERLOAD_FULL_IN_FLIGHT_MULTIPLE = 0.9, 1.4
+# Replaces the full multiple while a queue is new: all requests are then refused when a response takes 0.9 of
+# the aim.
+NEW_QUEUE_FULL_IN_FLIGHT_MULTIPLE = 2.0
+# A queue that bridges a change is tolerated; one that persists serves nobody and fills the servers up.
+QUEUE_TOLERANCE_WINDOW_MS = 6000.0
+ERROR_WINDOW_MS, ERROR_WINDOW_ATTEMPTS = 4000.0, 33.0  # the error share is averaged over both
+PRIOR_GOOD_ATTEMPTS = 4.0  # added to those counted, so that a few chance failures are no overload
+RATE_WINDOW_MS, BEST_RATE_DECAY_MS = 2000.0, 20000.0  # of the rate of timely responses
+# The mean response time is averaged over this many, or over RATE_WINDOW_MS if that holds more responses.
+MEAN_WINDOW_RESPONSES = 60.0
+FASTEST_MEAN_DOUBLING_MS = 100000.0  # the fastest mean time rises this slowly, to follow slower work
+FAST_BELOW_MULTIPLE = 1.3  # responses are fast below this multiple of the fastest mean time
+SLOW_FROM_MULTIPLE = 2.0  # from this multiple on they are so slow that the best rate is out of reach
+MAX_GROWTH_FACTOR = 1.5  # on the best rate seen, while almost nothing fails and no servers are missing
+# The allowed growth falls as servers go missing, down to half of it at half of this share. From there on a
+# grown rate proves nothing.
+MAX_MISSING_SERVER_SHARE = 0.2
+IN_FLIGHT_WINDOW_MS = 4000.0  # divided by the needed number in flight
+
+# Choice of an endpoint and ejection of outliers.
+CANDIDATES = 6  # servers examined to find an idle one
+MAX_IDLE_LOAD = 1.15  # a server of usual speed is idle while this node's recent and open attempts weigh less
+MAX_MULTIPLE_OF_LEAST_LOAD = 1.1  # of the least loaded candidate, if none is idle
+KEY_SPREAD_FACTOR = 2.0  # servers that share a key, per mean server's traffic that the key draws
+EJECTION_FAILURE_SHARE = 0.4  # of a server's attempts, in addition to twice the error share of the fleet
+RING_POINTS_PER_SERVER = 16  # enough to even out the shares of the servers
+BASE_EJECTION_MS = 2000.0  # before a single trial attempt
+MAX_EJECTED_SHARE = 0.34  # of the subset: with more failing servers the fault is a common one
+
+# Subsetting: with many nodes, each uses only a part of the fleet.
+# With fewer requests in flight per server, a node's own attempts say too little about the whole fleet.
+SUBSETTING_BELOW_REQUESTS_PER_SERVER = 0.2
+NODES_PER_SUBSET = 6  # with fewer, a node knows more of its servers' load, but their keys are colder
+MIN_SUBSET = 8  # servers: enough to tell good ones from bad ones
+
+SLOWNESS_SMOOTHING = 0.15  # weight of one response: work differs more between requests than between servers
+STALLED_AFTER_MULTIPLE = 4.0  # of the usual response time: an attempt open for longer marks its server
+
+# Slow start of cold servers.
+# Share sent of what a cold server could handle at its age: it has not cached its keys yet as warm ones have.
+COLD_LOAD_SHARE = 0.8
+# While it responds fast, share sent of the load that would overload it, by the present rate of warm servers.
+COLD_SHARE_OF_TIP_MULTIPLE = 0.6
+MAX_COLD_OPEN_ATTEMPTS = 2  # of one node at a cold server whose responses each trigger the next attempt
+FIRST_REQUESTS_AFTER_UNCORDON = 4.0  # sent at once, by all nodes together
+
+SUBSCRIBE_TOKEN = 1 << 60  # timer token that triggers Subscribe; all other tokens are request ids
+SERVER_RESPONDED = frozenset({Result.OK, Result.ERROR, Result.FULL})  # these come from the server itself
 
 
 @dataclass(slots=True)
 class ClassHealth:
-    """How a server treats one class."""
+    """How reliably a server handles one request class."""
 
-    failure_share: float = 0.0  # recent share of failures
-    ejected_until: float = 0.0  # not before then; 0: no suspect
-    recent_ejections: int = 0  # rests lately
+    failure_share: float = 0.0  # moving average
+    ejected_until: float = 0.0  # 0 once an attempt has succeeded
+    recent_ejections: int = 0  # halved by each success; each one doubles the next ejection
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """What this node knows of a server: the list's line and what its own attempts showed."""
+    """What this node knows of a server: its entry in the server list and the results of its own attempts.
+
+    Attempts are identified by request id and attempt number.
+    """
 
     entry: ServerEntry
-    tokens: float  # while cold: attempts it may get; a random start keeps nodes out of step
+    tokens: float  # slow start: attempts allowed now; a random initial value keeps nodes out of step
     tokens_updated_at: float
-    health: list[ClassHealth]  # by class
-    open_attempts: dict[tuple[int, int], tuple[PendingRequest, float, float]] = field(
-        default_factory=dict
-    )  # sent, overdue after
-    uploading_attempts: dict[tuple[int, int], PendingRequest] = field(
-        default_factory=dict
-    )  # attempts whose bodies still come
-    streaming_attempts: set[tuple[int, int]] = field(
-        default_factory=set
-    )  # whose answers are passed on as they come
-    recent_attempts: float = 0.0  # our recent attempts, decayed
-    slowness: float = 1.0  # its answers' time over the usual for their class and its kind
-    latest_answered_sent_at: float = 0.0  # when the latest of the attempts that it has answered was sent
-    last_success_at: float = -1e9  # when it last served one
-    last_attempt_succeeded: bool = False  # its latest attempt was served: what it answers may be sent again
+    health: list[ClassHealth]  # by request class
+    # Attempts that the server works on, with the times at which each was sent and becomes overdue.
+    open_attempts: dict[tuple[int, int], tuple[PendingRequest, float, float]] = field(default_factory=dict)
+    # Attempts whose request bodies are still being received.
+    uploading_attempts: dict[tuple[int, int], PendingRequest] = field(default_factory=dict)
+    # Attempts whose responses are being passed on; their requests are no longer pending.
+    streaming_attempts: set[tuple[int, int]] = field(default_factory=set)
+    recent_attempts: float = 0.0  # sent by this node; decays
+    slowness: float = 1.0  # response time relative to the usual one of its class and machine kind
+    latest_responded_sent_at: float = 0.0  # send time of the newest attempt that it has responded to
+    last_success_at: float = -1e9
+    last_attempt_succeeded: bool = False  # lets a cold server receive the next attempt at once
 
     def has_attempts(self) -> bool:
-        """Whether an outcome may still name it."""
+        """Whether an outcome may still refer to this server."""
         return bool(self.open_attempts or self.uploading_attempts or self.streaming_attempts)
 
     def take_over_attempts(self, replaced: Endpoint) -> None:
-        """The attempts that are out at it before it is known anew."""
+        """Adopt the attempts of the record that this one replaces."""
         self.open_attempts, self.uploading_attempts, self.streaming_attempts = (
             replaced.open_attempts,
             replaced.uploading_attempts,
@@ -176,123 +153,107 @@
         )
 
     def find_held_attempts(self, now: float) -> list[tuple[float, float]]:
-        """When each attempt that it holds was sent and is overdue; without those that it has lost.
+        """Return when each attempt held by the server was sent and becomes overdue, without lost ones.
 
-        An attempt is lost if it is overdue and one sent after it was answered: the server is at work, but
-        that answer may never come. It tells neither of load nor of a hang.
+        An attempt is lost if it is overdue and the server has responded to one that was sent later: the
+        server works, but that response may never come. It indicates neither load nor a hang.
         """
         return [
             (sent, overdue_at)
             for _, sent, overdue_at in self.open_attempts.values()
-            if overdue_at >= now or sent >= self.latest_answered_sent_at
+            if overdue_at >= now or sent >= self.latest_responded_sent_at
         ]
 
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The requests of one key that take turns, and what keeps the next of them waiting."""
+    """The requests of one key whose class is served in order, one at a time."""
 
-    waiting: list[PendingRequest] = field(default_factory=list)  # unfinished ones in order of arrival
-    open_attempts: int = 0  # attempts without an outcome, those of finished requests included
-    paused_until: float = 0.0
+    waiting: list[PendingRequest] = field(default_factory=list)  # unfinished, in order of arrival
+    open_attempts: int = 0  # attempts without an outcome, also of requests that are finished
+    paused_until: float = 0.0  # set after an attempt that may still be running
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed an answer; its attempts keep it until their outcomes."""
+    """A request without a final response. Open attempts refer to it until their outcomes arrive."""
 
     request: Request
-    received_at: float
-    score: float
+    received_at: float  # or when its body was complete
+    score: float  # compared with the cut; higher scores wait less before a retry
     key_queue: KeyQueue | None = None
     attempts_sent: int = 0
-    open_attempts: set[int] = field(default_factory=set)  # numbers of its attempts without an outcome
-    maybe_ran: dict[int, tuple[float, ServerEntry]] = field(default_factory=dict)  # sends that may have run
-    servers_tried: list[int] = field(default_factory=list)  # servers tried
-    cancelled_attempts: set[int] = field(default_factory=set)  # attempts called back
+    open_attempts: set[int] = field(default_factory=set)  # numbers of the attempts without an outcome
+    # Send time and server of each attempt, by its number, that may have run the request.
+    maybe_ran: dict[int, tuple[float, ServerEntry]] = field(default_factory=dict)
+    servers_tried: list[int] = field(default_factory=list)
+    cancelled_attempts: set[int] = field(default_factory=set)  # whose cancellation has been requested
 
 
 class Policy:
-    """One node's decisions. Shares nothing with other instances; random numbers come from the seed."""
+    """The routing decisions of one node. Instances share nothing; random numbers come from the seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.endpoints: dict[int, Endpoint] = {}
-        self.cordoned: set[int] = set()  # out by hand, whether listed or not
-        self.uncordoned_at: dict[int, float] = {}  # when servers that were out came back, until they are warm
-        self.untried_after_uncordon: list[int] = []  # of these, who has not been sent anything yet
-        self.ready_servers: list[int] = []  # may serve; in the order of their hashes, the same at every node
-        self.subset_start, self.subset_size = 0, 1  # our stretch of the fleet
-        self.subset_servers: list[int] = []  # its servers
-        self.ring = HashRing()  # places of its servers
-        # What a change of the list touches, so that it costs what changed and not the whole fleet.
-        self.changed_servers: set[int] = set()  # servers since the fleet was measured
-        self.possibly_cold_servers: set[int] = set()  # ready ones that may still be cold
-        self.ready_by_size_and_kind: dict[
-            tuple[float, int], set[int]
-        ] = {}  # ready ones by listed size and kind
-        self.ring_point_counts: dict[tuple[float, int], int] = {}  # on the ring, of each of them
-        self.departed_servers: set[int] = (
-            set()
-        )  # not listed any more, kept while an outcome may still name them
-        self.occupied_servers: set[int] = set()  # those that hold attempts of ours
+        self.cordoned: set[int] = set()  # by an operator, whether listed or not
+        self.uncordoned_at: dict[int, float] = {}  # for servers that may still be cold after it
+        self.untried_after_uncordon: list[int] = []  # uncordoned servers that were sent nothing since
+        self.ready_servers: list[int] = []  # ordered by the hashes of their ids, the same at every node
+        self.subset_start, self.subset_size = 0, 1  # this node's part of ready_servers
+        self.subset_servers: list[int] = []
+        self.ring = HashRing()  # of the subset
+        # These sets make a change of the list cost as much as what changed and not as the whole fleet.
+        self.changed_servers: set[int] = set()  # since the fleet was last measured
+        self.possibly_cold_servers: set[int] = set()  # ready ones
+        self.ready_by_size_and_kind: dict[tuple[float, int], set[int]] = {}
+        self.ring_point_counts: dict[tuple[float, int], int] = {}  # of each server of a size and kind
+        self.departed_servers: set[int] = set()  # unlisted, kept while an outcome may refer to them
+        self.occupied_servers: set[int] = set()  # those with open attempts of this node
         self.pending_requests: dict[int, PendingRequest] = {}
         class_count = len(settings.classes)
         self.worths = [
             cls.worth * weight for weight in (1.0, settings.over_quota_worth) for cls in settings.classes
         ]
-        self.usual_response_ms = [cls.aim / 4 for cls in settings.classes]  # learned answer time by class
+        self.usual_response_ms = [cls.aim / 4 for cls in settings.classes]  # learned, by class
         self.shortest_aim_ms = min(cls.aim for cls in settings.classes)
-        self.offered_requests = [1e-9] * (
-            2 * class_count
-        )  # recent requests, like worths: by class, then by class beyond quota
-        self.score_bands: list[tuple[float, float]] = [(0.0, 100.0)] * (2 * class_count)
+        # Recent requests, indexed like worths: by class within the quotas, then by class beyond them.
+        self.offered_requests = [1e-9] * (2 * class_count)
+        self.score_bands: list[tuple[float, float]] = [(0.0, 100.0)] * (2 * class_count)  # start, width
         self.quota_used = [0.0] * len(settings.quotas)
-        self.key_counts: dict[int, float] = {}
-        self.key_counts_total = self.recent_attempts_total = (
-            1e-9  # recent requests with a key, recent attempts
-        )
-        self.failed_attempts = self.counted_attempts = self.unreachable_share = (
-            0.0  # recent attempts, decayed; share without a connection
-        )
-        self.error_share = 0.0  # their share that failed
-        self.in_flight_now, self.in_flight_average, self.needed_in_flight = (
-            0,
-            0.0,
-            1.0,
-        )  # open attempts: now, averaged, when busy
-        self.sent_since_upkeep, self.send_rate_average = (
-            0,
-            0.0,
-        )  # attempts since upkeep; a ms, averaged like those in flight
-        self.timely_since_upkeep, self.traffic_age_ms = (
-            0,
-            0.0,
-        )  # timely answers since upkeep; ms of traffic seen, up to RATE_TIME
-        self.timely_rate = self.best_timely_rate = 0.0  # timely answers a ms: now and at best
-        self.mean_response_ms = self.fastest_mean_ms = self.mean_sample_count = (
-            0.0  # their time on average over so many, and at best
-        )
-        self.timely_rate_per_server = self.best_rate_per_server = (
-            0.0  # timely answers a ms and warm server: now and at best
-        )
+        self.key_counts: dict[int, float] = {}  # recent requests by key
+        self.key_counts_total = self.recent_attempts_total = 1e-9
+        # Decaying counts of attempts, and the share of attempts that got no connection.
+        self.failed_attempts = self.counted_attempts = self.unreachable_share = 0.0
+        self.error_share = 0.0
+        # Open attempts now, on average, and as needed when the fleet is busy.
+        self.in_flight_now, self.in_flight_average, self.needed_in_flight = 0, 0.0, 1.0
+        self.sent_since_upkeep, self.send_rate_average = 0, 0.0  # attempts, and attempts per ms
+        # Timely responses, and ms of traffic seen, up to RATE_WINDOW_MS.
+        self.timely_since_upkeep, self.traffic_age_ms = 0, 0.0
+        self.timely_rate = self.best_timely_rate = 0.0  # responses per ms
+        # The mean time of timely responses, its lowest value, and the number of responses averaged.
+        self.mean_response_ms = self.fastest_mean_ms = self.mean_sample_count = 0.0
+        self.timely_rate_per_server = self.best_rate_per_server = 0.0  # responses per ms and warm server
         self.overload, self.cut, self.shedding = 0.0, 0.0, False
-        self.tolerates_new_queues = (
-            settings.group_size <= NODES_PER_SUBSET
-        )  # of many, none sees enough to tell a new queue from an old
-        self.queue_tolerance = float(self.tolerates_new_queues)  # towards 0 while overload lasts
+        # With more nodes, no node sees enough requests to tell a new queue from an old one.
+        self.tolerates_new_queues = settings.group_size <= NODES_PER_SUBSET
+        self.queue_tolerance = float(self.tolerates_new_queues)  # falls towards 0 while overload lasts
         self.last_upkeep_at = self.counts_halved_at = self.now = 0.0
-        self.slowness_by_kind: dict[int, float] = {}  # answer time over the usual, by kind of machine
+        self.slowness_by_kind: dict[int, float] = {}  # response time over the usual, by machine kind
+        # The number of warm servers usually and now, this node's share of the listed capacity, and the
+        # capacity of the strongest and of the mean server.
         self.usual_warm_servers = self.warm_servers = self.listed_capacity_share = self.max_capacity = (
             self.mean_capacity
         ) = 1.0
         self.subscribe_backoff_ms = settings.ask_within / 40
         self.never_ran_results = NEVER_RAN - {Result.FULL} if settings.full_may_have_run else NEVER_RAN
         self.key_queues: dict[int, KeyQueue] = {}  # by key
-        self.changed_key_queues: list[KeyQueue] = []  # where the next may have its turn
-        self.lease = MembershipLease(settings)  # for how long the list at hand may be routed by
+        self.changed_key_queues: list[KeyQueue] = []  # whose next request may be sent now
+        self.lease = MembershipLease(settings)  # limits how long the current list may be used
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Process one event at the clock time `now` and return the actions to carry out, in order."""
         self.now = now
         self.actions: list[Action] = []
         if isinstance(event, Request):
@@ -326,15 +287,17 @@
                 self.dispatch_request(queue.waiting[0])
         return self.actions
 
-    # Requests in: score, cut, first attempt.
+    # Admission: score, cut and first attempt.
 
     def on_request(self, request: Request) -> None:
+        """Score a new request, then refuse it or dispatch its first attempt."""
         if self.now - self.last_upkeep_at >= UPKEEP_INTERVAL_MS:
             self.run_upkeep()
         settings, group, tenant = self.settings, request.cls, request.tenant
         if not 0 <= group < len(settings.classes):
             raise LookupError(f"a request names class {group}, which the settings do not have")
-        if settings.quotas:  # a bucket 1 s deep that leaks the quota; our traffic stands for all nodes'
+        # A leaky bucket of 1 s per tenant. This node's traffic is taken as typical of all nodes.
+        if settings.quotas:
             if not 0 <= tenant < len(settings.quotas):
                 raise LookupError(f"a request names tenant {tenant}, which the settings do not have")
             if self.quota_used[tenant] > settings.quotas[tenant] / settings.group_size:
@@ -356,6 +319,7 @@
         self.dispatch_request(pending)
 
     def run_upkeep(self) -> None:
+        """Refresh quotas, decaying counts, score bands, the cut and overdue attempts."""
         elapsed_ms = (
             min(self.now - self.last_upkeep_at, 1000.0) if self.last_upkeep_at else UPKEEP_INTERVAL_MS
         )
@@ -380,15 +344,20 @@
             self.measure_fleet()
         self.update_score_bands()
         self.update_cut(elapsed_ms)
+        # Otherwise an overdue response may just be slow, and a second attempt would add load.
         responses_fast = (
             self.overload == 0 and self.mean_response_ms < FAST_BELOW_MULTIPLE * self.fastest_mean_ms
-        )  # else the answer may be slow, and a repeat load
+        )
         if self.settings.may_cancel and responses_fast and self.lease.is_valid(self.now):
             for server_id in list(self.occupied_servers):
                 self.cancel_overdue_attempts(self.endpoints[server_id])
 
     def update_score_bands(self) -> None:
-        """Scores: groups in order of worth, as wide as their share of offered worth; equals share a band."""
+        """Assign each group of requests its band of scores from 0 to 100.
+
+        A group is a class within or beyond its quota. Bands are ordered by worth and as wide as the group's
+        share of the offered worth; groups of equal worth share a band.
+        """
         worth_and_offered_worth = [
             (worth_of_group, worth_of_group * count)
             for worth_of_group, count in zip(self.worths, self.offered_requests, strict=True)
@@ -407,10 +376,11 @@
             )
             self.score_bands[group] = (100.0 * lower_worth / total, 100.0 * equal_worth / total)
 
-    # Overload: how far errors and requests in flight are past their thresholds.
+    # Overload: how far the error share and the requests in flight exceed their thresholds.
 
     def update_cut(self, elapsed_ms: float) -> None:
-        # Of few requests held most is chance: then it looks at a longer time.
+        """Recompute the overload and the score under which requests are refused."""
+        # With few requests in flight their number is mostly chance, so the averaging window is longer.
         window_ms = min(
             max(IN_FLIGHT_WINDOW_MS / self.needed_in_flight, 4 * UPKEEP_INTERVAL_MS), 100 * UPKEEP_INTERVAL_MS
         )
@@ -426,7 +396,8 @@
             self.sent_since_upkeep / max(elapsed_ms, 1.0) - self.send_rate_average
         ) * min(1.0, elapsed_ms / window_ms)
         self.sent_since_upkeep = 0
-        kept_share = 1 - min(0.5, elapsed_ms / ERROR_WINDOW_MS)  # so that a full stop is not for ever
+        # Errors decay with time as well, so that refusing every request does not last for ever.
+        kept_share = 1 - min(0.5, elapsed_ms / ERROR_WINDOW_MS)
         self.failed_attempts, self.counted_attempts = (
             self.failed_attempts * kept_share,
             self.counted_attempts * kept_share,
@@ -440,7 +411,8 @@
             OVERLOAD_FULL_IN_FLIGHT_MULTIPLE
             + (NEW_QUEUE_FULL_IN_FLIGHT_MULTIPLE - OVERLOAD_FULL_IN_FLIGHT_MULTIPLE) * self.queue_tolerance
         )
-        # There all is refused. What is averaged beyond tells no more, and would keep it so after its end.
+        # At the full multiple all requests are refused. A higher average adds no information and would
+        # prolong the refusals after the overload has ended.
         self.in_flight_average = min(
             self.in_flight_average,
             max(full_multiple * self.needed_in_flight, self.in_flight_now - lost_attempts),
@@ -463,11 +435,13 @@
             )
 
     def update_needed_in_flight(self, elapsed_ms: float) -> None:
-        """What a busy fleet needs in flight: its best rate of timely answers times what they may take."""
+        """Recompute how many requests a busy fleet needs in flight.
+
+        This is the best rate of timely responses times the time that a response may take.
+        """
         few_errors = self.error_share < OVERLOAD_START_ERROR_SHARE / 2
-        self.traffic_age_ms = min(
-            self.traffic_age_ms + elapsed_ms, RATE_WINDOW_MS
-        )  # a young node has no more to average over
+        # A new node averages over the traffic that it has seen.
+        self.traffic_age_ms = min(self.traffic_age_ms + elapsed_ms, RATE_WINDOW_MS)
         self.timely_rate += (
             (self.timely_since_upkeep / max(elapsed_ms, 1.0) - self.timely_rate)
             * elapsed_ms
@@ -481,8 +455,8 @@
             * elapsed_ms
             / self.traffic_age_ms
         )
-        # Slow answers though no more is sent than at best: other nodes send more than they did, it is gone.
-        # While nothing is out, no answer tells of that.
+        # Slow responses at no more than the best rate mean that other nodes send more than before and that
+        # the best rate can't be reached any more. With nothing in flight, no response can show that.
         responses_slow = (
             self.mean_response_ms >= SLOW_FROM_MULTIPLE * self.fastest_mean_ms and self.in_flight_now
         )
@@ -492,7 +466,7 @@
             self.best_rate_per_server * (1 - elapsed_ms / decay_ms), self.timely_rate_per_server
         )
         self.timely_since_upkeep = 0
-        # Where servers have left or come back cold, the others get more than ever: there is less to try.
+        # Where servers have left or are cold again, the others get more load than ever: allow less growth.
         self.usual_warm_servers += (self.warm_servers - self.usual_warm_servers) * (
             elapsed_ms / BEST_RATE_DECAY_MS if self.traffic_age_ms >= RATE_WINDOW_MS else 1.0
         )
@@ -505,8 +479,9 @@
                 (self.fastest_mean_ms or self.mean_response_ms) * (1 + elapsed_ms / FASTEST_MEAN_DOUBLING_MS),
                 self.mean_response_ms,
             )
-            # Growing traffic is in flight before it is answered; few answers would show slowness too late.
-            # What is in flight beyond what is sent has not grown: it is stuck, and no answer tells of it yet.
+            # Growing traffic is in flight before the responses arrive. Too few responses would reveal slow
+            # servers too late. What is in flight beyond the send rate is stuck, not grown traffic, although
+            # no response shows that yet.
             responses_fast = (
                 self.mean_response_ms < FAST_BELOW_MULTIPLE * self.fastest_mean_ms
                 and self.timely_rate * RATE_WINDOW_MS > MEAN_WINDOW_RESPONSES / 2
@@ -521,13 +496,13 @@
             * max(0.0, 1.0 - self.error_share / OVERLOAD_START_ERROR_SHARE)
             * growth_allowed
         )
-        best_rate = min(
-            self.best_timely_rate, self.best_rate_per_server * self.warm_servers
-        )  # servers that have left carry no more
+        # Servers that have left contribute nothing to the best rate.
+        best_rate = min(self.best_timely_rate, self.best_rate_per_server * self.warm_servers)
         self.queue_tolerance += (
             (self.overload == 0.0 and self.tolerates_new_queues) - self.queue_tolerance
         ) * min(1.0, elapsed_ms / QUEUE_TOLERANCE_WINDOW_MS)
-        # A node that has only seen a jam takes slow answers for the quickest there are; the settings know.
+        # A node that has seen nothing but overload would take slow responses for the fastest possible ones,
+        # so the aims of the settings limit them.
         max_queueing_ms = MAX_RESPONSE_SHARE_OF_AIM * self.shortest_aim_ms
         fastest_ms = min(self.fastest_mean_ms, max_queueing_ms)
         allowed_response_ms = (
@@ -538,27 +513,31 @@
         self.needed_in_flight = max(
             self.listed_capacity_share, growth_factor * best_rate * allowed_response_ms
         )
+        # With few responses so far the estimate is not reliable.
         self.needed_in_flight = (
             max(self.needed_in_flight, 1.0)
             if self.mean_sample_count < MEAN_WINDOW_RESPONSES / 5
             else self.needed_in_flight
-        )  # little seen yet
+        )
 
     def choose_retry_after(self, score: float) -> float:
-        """The lower the score the longer the wait; jitter keeps retries from coming due together."""
+        """Return a Retry-After time in ms: longer for lower scores, with jitter to spread the retries."""
         return self.settings.max_retry_after * (1.0 - score / 100.0) * (0.9 + 0.1 * self.random.random())
 
-    # Picking a server.
+    # Choice of an endpoint.
 
     def dispatch_request(self, pending: PendingRequest) -> None:
-        """Send the request to a server, hold it for its turn, or end it if none can serve it in time."""
+        """Send the request to a server, queue it behind others of its key, or give it up.
+
+        It is given up if no server can serve it in time.
+        """
         request = pending.request
         usual_ms, queue, deadline = (
             self.usual_response_ms[request.cls],
             pending.key_queue,
             self.compute_attempt_deadline(pending),
         )
-        # A line that can't be served in time is refused at its end, not held until its deadline.
+        # A request too far back in its key's queue is refused at once, not kept until its deadline.
         ahead = queue.waiting.index(pending) if queue else 0
         latest_start = deadline - max((0.5 + ahead) * usual_ms, request.hint, 2 * self.settings.tick)
         can_be_attempted = pending.attempts_sent < self.settings.max_attempts and latest_start > self.now
@@ -603,7 +582,7 @@
         self.actions.append(Send(request.id, endpoint.entry.id, deadline - self.now, send_within_ms))
 
     def add_open_attempt(self, endpoint: Endpoint, pending: PendingRequest, attempt_number: int) -> None:
-        """From now on an attempt is work for its server."""
+        """Count an attempt as work of its server from now on."""
         overdue_at = self.now + STALLED_AFTER_MULTIPLE * self.usual_response_ms[pending.request.cls]
         endpoint.open_attempts[(pending.request.id, attempt_number)] = pending, self.now, overdue_at
         self.occupied_servers.add(endpoint.entry.id)
@@ -611,23 +590,25 @@
         self.sent_since_upkeep += 1
 
     def compute_attempt_deadline(self, pending: PendingRequest) -> float:
-        """How long an attempt may take. After the aim an answer may be worth nothing: then no longer."""
+        """Return the clock time at which an attempt times out.
+
+        This is the time when the client gives up, or the aim if late responses have no value.
+        """
         request, cls = pending.request, self.settings.classes[pending.request.cls]
         if cls.late_value or request.uploading:
             return request.due
         return min(request.due, pending.received_at + cls.aim)
 
     def choose_endpoint(self, pending: PendingRequest) -> Endpoint | None:
-        """A random idle-looking server of a small draw; where none is, one that is about as light as any."""
+        """Return the first idle candidate, else one close to the least loaded; None if no server fits."""
         eligible: list[tuple[float, Endpoint]] = []
         examined: set[int] = set()
         mean_recent_attempts = self.recent_attempts_total / self.subset_size
         for server_id in self.candidates(pending.request.key):
             endpoint = self.endpoints[server_id]
             health = endpoint.health[pending.request.cls]
-            if (
-                server_id in examined or server_id in pending.servers_tried
-            ):  # two draws mean two servers, also in a small fleet
+            # Candidates repeat in a small fleet; each is examined once.
+            if server_id in examined or server_id in pending.servers_tried:
                 continue
             examined.add(server_id)
             held_attempts = endpoint.find_held_attempts(self.now)
@@ -652,16 +633,16 @@
         return endpoint
 
     def candidates(self, key: int) -> Iterator[int]:
-        """Server ids in the order to look at them."""
-        if (
-            self.untried_after_uncordon
-        ):  # one request each, soon: few nodes and near servers would leave it to chance
+        """Yield server ids in the order in which to examine them; ids may repeat."""
+        # Uncordoned servers get one request each soon. Otherwise that would depend on chance where nodes are
+        # few and other servers are nearer.
+        if self.untried_after_uncordon:
             listed = (server_id for server_id in self.untried_after_uncordon if server_id in self.endpoints)
             yield from [
                 server_id for server_id in listed if self.endpoints[server_id].entry.state is State.READY
             ]
         if key and self.settings.warm_keys and self.ready_servers:
-            # Where servers remember keys, the key's own places come first; one that draws much has more.
+            # Where servers cache keys, the key's places on the ring come first; a hot key has more of them.
             places = 1 + int(
                 self.key_counts.get(key, 0.0) / self.key_counts_total * self.subset_size * KEY_SPREAD_FACTOR
             )
@@ -673,7 +654,8 @@
             for _ in range(CANDIDATES)
             if self.subset_servers
         ]
-        # Our zone's come first, of them likelier the stronger. If none fits: the stretch, then the fleet.
+        # Servers of this node's zone come first, stronger ones with a higher probability. If none fits, the
+        # rest of the subset follows, then the rest of the fleet.
         in_other_zone = {
             server_id: self.endpoints[server_id].entry.zone != self.settings.zone for server_id in sampled
         }
@@ -687,22 +669,27 @@
             yield self.ready_servers[(position + offset) % len(self.ready_servers)]
 
     def compute_capacity(self, endpoint: Endpoint) -> float:
-        """What a server can do by listed size and by the learned pace of its kind; the strongest: 1."""
+        """Return the capacity by listed size and learned speed of the machine kind; the strongest's is 1."""
         return self.compute_shared_capacity(endpoint.entry.size, endpoint.entry.kind)
 
     def compute_shared_capacity(self, size: float, kind: int) -> float:
+        """Return the capacity that all servers of a size and machine kind have."""
         return size / self.slowness_by_kind.get(kind, 1.0) / self.max_capacity
 
     def can_take_attempt(
         self, endpoint: Endpoint, health: ClassHealth, held_attempts: list[tuple[float, float]]
     ) -> bool:
+        """Whether the server is neither ejected nor stalled nor at its limit for cold servers."""
+        # After its ejection a server gets one attempt at a time until one succeeds.
         if health.ejected_until > self.now or (health.ejected_until and held_attempts):
-            return False  # a suspect rests, then gets one attempt at a time until it proves itself
+            return False
+        # An overdue attempt shows a hang or a pause before any timeout. If it is the only one, the server
+        # gets another attempt once that one is overdue twice.
         any_overdue = any(overdue_at < self.now for _, overdue_at in held_attempts)
         if any_overdue and (
             len(held_attempts) > 1 or 2 * held_attempts[0][1] - held_attempts[0][0] > self.now
         ):
-            return False  # hung or pausing, seen before any time-out; a lone one is tried once more, later
+            return False
         return (
             self.compute_cold_share(endpoint) >= 1.0
             or self.may_follow_cold_response(endpoint)
@@ -710,7 +697,7 @@
         )
 
     def compute_cold_share(self, endpoint: Endpoint) -> float:
-        """What share of its work a server can surely do by its age."""
+        """Return the share of its full load that a server can certainly handle at its age."""
         settings = self.settings
         started = max(endpoint.entry.started, self.uncordoned_at.get(endpoint.entry.id, 0.0))
         age = max(0.0, self.now - started)
@@ -719,10 +706,10 @@
         return settings.cold_from + (1.0 - settings.cold_from) * age / settings.ramp_time
 
     def may_follow_cold_response(self, endpoint: Endpoint) -> bool:
-        """Whether a cold server may get another because it has answered the last.
+        """Whether a cold server may get another attempt because the last one succeeded.
 
-        What waits for answers can't tip it, however slow it is: in any stretch no more is sent than it has
-        done and what is out, for which the budget has room as long as the nodes are few.
+        Attempts that wait for a response can't overload it, however slow it is: in any period no more is sent
+        than it has completed plus what is open, and with few nodes the tipping budget covers the open ones.
         """
         settings = self.settings
         tip_budget_ms = (
@@ -737,11 +724,16 @@
         return endpoint.last_attempt_succeeded and len(endpoint.open_attempts) + 1 <= max_open_attempts
 
     def has_cold_token(self, endpoint: Endpoint) -> bool:
-        # All nodes together overdrive a cold server: each keeps to its share of what a warm peer answered
-        # (little of what is sent may arrive), without a burst; at first to its part of one at a time.
+        """Refill the server's token bucket and return whether it holds a token for one attempt.
+
+        All nodes together could overload a cold server, so each keeps to its share of what a warm server has
+        responded to, without bursts. The rate of sent attempts would be wrong: few of them may arrive. Before
+        there are responses, the rate is this node's share of one attempt at a time.
+        """
         one_at_a_time_rate = 1.0 / self.settings.group_size / max(self.usual_response_ms)
         rate = COLD_LOAD_SHARE * max(self.best_rate_per_server, one_at_a_time_rate)
-        if endpoint.slowness < 1.0:  # it answers as quickly as any: it can do more than is sure
+        # If it responds as fast as the others, it can handle more than is certain for its age.
+        if endpoint.slowness < 1.0:
             rate = max(
                 rate, COLD_SHARE_OF_TIP_MULTIPLE * self.settings.tip_multiple * self.timely_rate_per_server
             )
@@ -751,7 +743,7 @@
         return endpoint.tokens >= 1.0
 
     def permits_endpoint(self, pending: PendingRequest, endpoint: Endpoint) -> bool:
-        """Whether the class lets the request go to this server, given where it may have run already."""
+        """Whether the class allows this server, given the servers on which the request may have run."""
         cls = self.settings.classes[pending.request.cls]
         if not pending.maybe_ran or cls.effect is not Effect.KEYED:
             return not pending.maybe_ran or cls.effect is Effect.SAFE
@@ -762,17 +754,20 @@
         )
 
     def compute_window_left(self, pending: PendingRequest) -> float:
-        """ms in which servers drop a repeat of a keyed request that may have run; for all others: no end."""
+        """Return for how many ms servers still drop a repeat of a keyed request that may have run.
+
+        For all other requests the result is infinite.
+        """
         cls = self.settings.classes[pending.request.cls]
         if not pending.maybe_ran or cls.effect is not Effect.KEYED:
             return math.inf
         first_sent_at = min(sent_at for sent_at, _ in pending.maybe_ran.values())
         return first_sent_at + cls.window - self.settings.tick - self.now
 
-    # Outcomes, further attempts and final answers.
+    # Outcomes, further attempts and final responses.
 
     def on_uploaded(self, event: Uploaded) -> None:
-        """The time of a request runs from the last byte of its body, and only now can a server begin."""
+        """Start the request's time at the last byte of its body: only now can a server begin its work."""
         pending = self.pending_requests.get(event.id)
         if pending is None:
             return
@@ -791,30 +786,30 @@
             )
 
     def on_began(self, event: Began) -> None:
-        """What is passed on as it comes is as good as served: its server has done the work."""
+        """Count a response that is being passed on as a success: the server has done the work."""
         if event.id in self.pending_requests:
             self.on_outcome(Outcome(event.id, event.server, True, Result.OK, event.attempt, event.elapsed))
             self.endpoints[event.server].streaming_attempts.add((event.id, event.attempt))
 
     def on_outcome(self, outcome: Outcome) -> None:
+        """Record the end of an attempt, then finish its request or dispatch a further attempt."""
         endpoint = self.endpoints.get(outcome.server)
         if endpoint is None:
             raise LookupError(f"an outcome names server {outcome.server}, which no list has named")
         attempt_key = outcome.id, outcome.attempt
         endpoint.streaming_attempts.discard(attempt_key)
-        if (
-            upload_pending := endpoint.uploading_attempts.pop(attempt_key, None)
-        ) is not None:  # told of its end before its work
+        # The attempt ended before the end of its upload was reported.
+        if (upload_pending := endpoint.uploading_attempts.pop(attempt_key, None)) is not None:
             self.add_open_attempt(endpoint, upload_pending, outcome.attempt)
         pending, sent_at, _ = endpoint.open_attempts.pop(attempt_key, (None, 0.0, 0.0))
         if not endpoint.open_attempts:
             self.occupied_servers.discard(outcome.server)
         if pending is None:
-            return  # told twice, or its answer was the client's already
+            return  # a duplicate, or the response is already being passed on to the client
         self.in_flight_now -= 1
         self.record_attempt_end(pending, outcome)
         if outcome.result in SERVER_RESPONDED:
-            endpoint.latest_answered_sent_at = max(endpoint.latest_answered_sent_at, sent_at)
+            endpoint.latest_responded_sent_at = max(endpoint.latest_responded_sent_at, sent_at)
         self.learn_from_outcome(endpoint, outcome, pending, sent_at)
         if outcome.over or outcome.id not in self.pending_requests:
             self.remove_request(outcome.id)
@@ -823,20 +818,20 @@
             or outcome.result == Result.TIMEOUT
             or self.random.random() < max(self.overload, self.unreachable_share)
         ):
-            self.reject_request(
-                pending, Cause.NOT_REPEATED
-            )  # resending feeds a jam, also of connections being made
+            # A further attempt would add to the overload, also to that of connection setup.
+            self.reject_request(pending, Cause.NOT_REPEATED)
         else:
             self.dispatch_request(pending)
 
     def cancel_overdue_attempts(self, endpoint: Endpoint) -> None:
-        """Where a repeat does no harm, stop waiting for answers that may never come, and ask another server.
+        """Cancel attempts that are presumed lost and whose requests may be repeated at another server.
 
-        They are overdue twice, or the server has answered what was sent after they were overdue.
+        An attempt is presumed lost once it is overdue twice, or once the server has responded to an attempt
+        that was sent after this one became overdue.
         """
         for (request_id, attempt), (pending, sent_at, overdue_at) in endpoint.open_attempts.items():
             presumed_lost = (
-                overdue_at < endpoint.latest_answered_sent_at or 2 * overdue_at - sent_at < self.now
+                overdue_at < endpoint.latest_responded_sent_at or 2 * overdue_at - sent_at < self.now
             )
             if (
                 presumed_lost
@@ -867,7 +862,7 @@
         )
 
     def record_attempt_end(self, pending: PendingRequest, outcome: Outcome) -> None:
-        """What an attempt's end tells of whether its request ran, and whose turn is next."""
+        """Update what is known of whether the request ran, and release its key's queue."""
         pending.open_attempts.discard(outcome.attempt)
         if outcome.result in self.never_ran_results:
             pending.maybe_ran.pop(outcome.attempt, None)
@@ -880,16 +875,16 @@
     def learn_from_outcome(
         self, endpoint: Endpoint, outcome: Outcome, pending: PendingRequest, sent_at: float
     ) -> None:
-        """What an outcome tells of its server and of the fleet."""
+        """Update the statistics of the server and of the fleet with an outcome."""
         result, cls = outcome.result, pending.request.cls
         if result in (Result.CANCELLED, Result.NOT_SENT):
             return
         attempt_failed, health = result != Result.OK, endpoint.health[cls]
         self.unreachable_share += 0.1 * ((result == Result.UNREACHABLE) - self.unreachable_share)
-        # What loads no server is no overload: no connection made, an answer that was lost alone, an end
-        # sooner than the work takes, a client that would wait for little longer than answers take, or 'full'
-        # from a server that has no queue: whom it does serve it serves as quickly as ever.
-        response_lost = result == Result.TIMEOUT and sent_at < endpoint.latest_answered_sent_at
+        # A failure that puts no load on a server is no overload: a connection that was never made, a single
+        # lost response, a failure sooner than the work takes, a client that waits hardly longer than a
+        # response takes, or 'full' from a server without a queue, which serves the rest as fast as ever.
+        response_lost = result == Result.TIMEOUT and sent_at < endpoint.latest_responded_sent_at
         weight = float(result != Result.UNREACHABLE and not response_lost)
         if result in (Result.ERROR, Result.RESET):
             weight = min(1.0, 0.5 * outcome.elapsed / self.usual_response_ms[cls])
@@ -913,7 +908,8 @@
                 outcome.elapsed - self.usual_response_ms[cls]
             )
         if not attempt_failed or (result == Result.TIMEOUT and not response_lost):
-            # How slow against its class, then its kind: few samples of one server, many of its kind.
+            # Slowness is relative to the class, then to the machine kind: there are few samples of one server
+            # but many of its kind.
             slowness = min(outcome.elapsed / self.usual_response_ms[cls], 8.0)
             kind_slowness = self.slowness_by_kind.get(endpoint.entry.kind, 1.0)
             self.slowness_by_kind[endpoint.entry.kind] = kind_slowness + 0.005 * (slowness - kind_slowness)
@@ -937,17 +933,16 @@
             health.ejected_until, health.recent_ejections = 0.0, health.recent_ejections // 2
 
     def record_failure(self, endpoint: Endpoint, cls: int, result: int, weak_evidence: bool) -> None:
-        """A failure: the server rests, for this class or for all, if it stands out."""
-        # It may fail one class only; silence tells of all. 'full' is load, but one that says nothing else, as
-        # before its drain is listed, would draw traffic by being quick; as no proof it costs the request.
+        """Count a failure, and eject the server for each class in which it is an outlier."""
+        # An error or 'full' may concern one class only; silence concerns all. 'full' means load, but a server
+        # that responds nothing else, as before its drain is listed, would attract traffic by being fast.
+        # Where 'full' doesn't prove that the request never ran, it costs the request.
         own_class_weight, other_class_weight = (
             (0.3, 0.3) if result not in (Result.ERROR, Result.FULL) else (0.5, 0.1)
         )
+        # A single lost response, or one that had too little time, is not silence.
         if weak_evidence or (result == Result.FULL and Result.FULL in self.never_ran_results):
-            own_class_weight, other_class_weight = (
-                0.1,
-                0.03,
-            )  # nor is one lost answer silence, or one that had too little time
+            own_class_weight, other_class_weight = 0.1, 0.03
         for class_index, health in enumerate(endpoint.health):
             health.failure_share += (own_class_weight if class_index == cls else other_class_weight) * (
                 1.0 - health.failure_share
@@ -972,7 +967,7 @@
                     )
 
     def reject_request(self, pending: PendingRequest, cause: Cause) -> None:
-        """The final answer without an open attempt: refused where that does no harm, else failed."""
+        """Give the final response without an open attempt: Refuse if a repeat does no harm, else Fail."""
         cls = self.settings.classes[pending.request.cls]
         repeat_is_harmless = cls.effect is Effect.SAFE or (
             cls.effect is Effect.KEYED and cls.group is Group.ALL
@@ -985,6 +980,7 @@
         self.remove_request(request_id)
 
     def remove_request(self, request_id: int) -> None:
+        """Forget a finished request, cancel its open attempts and release its key's queue."""
         pending = self.pending_requests.pop(request_id, None)
         if pending is not None and self.settings.may_cancel:
             self.actions.extend(
@@ -995,7 +991,7 @@
             self.changed_key_queues.append(pending.key_queue)
 
     def find_avoided_servers(self, now: float) -> set[int]:
-        """The servers that get nothing now: out by hand, or resting for every class."""
+        """Return the servers that get no requests now: cordoned, or ejected for every class."""
         known_endpoints = self.endpoints.items()
         ejected_servers = {
             server_id
@@ -1007,8 +1003,9 @@
     # The server list.
 
     def on_list(self, event: ServerList) -> None:
+        """Apply a server list or delta, or schedule the next call if none came."""
         if self.settings.ask_for_list and event.kind in (ListKind.CACHED, ListKind.FAILED):
-            # Calls of many nodes would meet: the first is spread out, later ones back off with jitter.
+            # Calls of many nodes would coincide: the first is spread out, later ones back off with jitter.
             self.actions.append(
                 Wake(self.subscribe_backoff_ms * (0.2 + 0.8 * self.random.random()), SUBSCRIBE_TOKEN)
             )
@@ -1032,7 +1029,7 @@
         self.measure_fleet()
 
     def forget_departed_servers(self) -> None:
-        """Where servers come and go all day, those that are gone must not be kept for ever."""
+        """Drop departed servers without attempts, so that changes of the fleet do not use up memory."""
         for server_id in list(self.departed_servers):
             endpoint = self.endpoints.get(server_id)
             if endpoint is not None and endpoint.entry.state is State.GONE:
@@ -1042,10 +1039,11 @@
             self.departed_servers.discard(server_id)
 
     def measure_fleet(self) -> None:
-        """What the fleet can do, and our part of it, from what has changed."""
+        """Recompute the fleet's capacity and this node's subset and ring from what has changed."""
         count = len(self.ready_servers)
-        # Groups of a few nodes share a stretch of the fleet where each holds little: of few servers a node
-        # knows what they hold, and they accept only so many connections. A group places keys alike.
+        # Where each node has few requests in flight, a few nodes share one subset of the fleet: a node knows
+        # the load of few servers better, and each server accepts a limited number of connections. Nodes that
+        # share a subset place keys alike.
         sparse = self.needed_in_flight < SUBSETTING_BELOW_REQUESTS_PER_SERVER * count
         subset_count = (
             max(1, min(self.settings.group_size // NODES_PER_SUBSET, count // MIN_SUBSET)) if sparse else 1
@@ -1087,7 +1085,7 @@
         self.changed_servers.clear()
 
     def measure_warm_servers(self) -> None:
-        """How many servers there are, cold ones by what they can do."""
+        """Count the ready servers, cold ones by the share of load that they can handle."""
         cold_shares = {
             server_id: self.compute_cold_share(self.endpoints[server_id])
             for server_id in self.possibly_cold_servers
@@ -1098,46 +1096,49 @@
         )
 
     def measure_capacity(self) -> None:
-        """Of those that are ready, by what they have in common."""
+        """Recompute the capacities of the ready servers, once per listed size and machine kind."""
         count = max(1, len(self.ready_servers))
         strongest_capacity = max(
             (self.compute_shared_capacity(*size_and_kind) for size_and_kind in self.ready_by_size_and_kind),
             default=1.0,
         )
-        self.max_capacity *= strongest_capacity or 1.0  # a list may give no sizes
+        self.max_capacity *= strongest_capacity or 1.0  # 0 if the list gives no sizes
         total_capacity = sum(
             self.compute_shared_capacity(*size_and_kind) * len(server_ids)
             for size_and_kind, server_ids in self.ready_by_size_and_kind.items()
         )
         self.mean_capacity = total_capacity / count
+        # A server of size 1 serves one request at a time.
         mean_size = (
             sum(size * len(server_ids) for (size, _), server_ids in self.ready_by_size_and_kind.items())
             / count
-        )  # 1 serves one at once
+        )
         self.listed_capacity_share = (
             (mean_size if 0.5 <= mean_size <= 8 else 1.0) * self.warm_servers / self.settings.group_size
         )
 
     def count_ring_points(self, size: float, kind: int) -> int:
+        """Return how many points on the ring each server of a size and machine kind has."""
         return int(RING_POINTS_PER_SERVER * self.compute_shared_capacity(size, kind)) + 1
 
     def get_size_and_kind(self, server_id: int) -> tuple[float, int]:
-        """What it has in common with others of its strength."""
+        """Return the listed size and machine kind: servers with the same pair have the same capacity."""
         entry = self.endpoints[server_id].entry
         return entry.size, entry.kind
 
     def is_ready(self, server_id: int) -> bool:
+        """Whether the server is listed as ready and not cordoned."""
         return self.endpoints[server_id].entry.state is State.READY and server_id not in self.cordoned
 
     def add_ready_server(self, server_id: int) -> None:
-        """A server may serve from now on."""
+        """Add a server to the ready ones."""
         insort(self.ready_servers, server_id, key=mix)
         self.ready_by_size_and_kind.setdefault(self.get_size_and_kind(server_id), set()).add(server_id)
         self.possibly_cold_servers.add(server_id)
         self.changed_servers.add(server_id)
 
     def remove_ready_server(self, entry: ServerEntry) -> None:
-        """A server may not serve any more, which was listed so."""
+        """Remove a server from the ready ones; `entry` is the entry with which it was added."""
         del self.ready_servers[bisect_left(self.ready_servers, mix(entry.id), key=mix)]
         size_and_kind = entry.size, entry.kind
         self.ready_by_size_and_kind[size_and_kind].discard(entry.id)
@@ -1147,11 +1148,12 @@
         self.changed_servers.add(entry.id)
 
     def apply_entry(self, entry: ServerEntry) -> None:
-        """Take over one line of the list."""
+        """Apply one entry of a server list."""
         known = self.endpoints.get(entry.id)
         if known is not None and known.entry == entry:
-            return  # as in most lines of a whole list
-        if known is None or known.entry.started != entry.started:  # new, or restarted: what we knew is void
+            return  # as for most entries of a whole list
+        # What was learned about a server does not hold after its restart.
+        if known is None or known.entry.started != entry.started:
             health = [ClassHealth() for _ in self.usual_response_ms]
             self.endpoints[entry.id] = Endpoint(entry, self.random.random(), self.now, health)
             if known is not None:
@@ -1167,9 +1169,10 @@
         if entry.state is State.READY:
             self.add_ready_server(entry.id)
 
-    # Servers that operators take out and call back.
+    # Servers that operators cordon and uncordon.
 
     def on_cordon(self, server_id: int) -> None:
+        """Send nothing more to a server until it is uncordoned."""
         endpoint = self.endpoints.get(server_id)
         if endpoint is not None and self.is_ready(server_id):
             self.remove_ready_server(endpoint.entry)
@@ -1180,7 +1183,11 @@
         self.measure_fleet()
 
     def on_uncordon(self, event: Uncordon) -> None:
-        """The server comes back cold; where its token is there, the next request that may is its first."""
+        """Let a server serve again, as a cold one.
+
+        Its first token is granted at once with a probability that lets all nodes together send it
+        FIRST_REQUESTS_AFTER_UNCORDON; a node that has the token sends the next suitable request there.
+        """
         server_id = event.server
         warm_if_back_before = self.now - self.settings.ramp_time
         self.uncordoned_at = {
@@ -1207,5 +1214,5 @@
             if was_out and endpoint.entry.state is State.READY:
                 self.add_ready_server(server_id)
             if self.is_ready(server_id):
-                self.possibly_cold_servers.add(server_id)  # cold again, also where it was never out
+                self.possibly_cold_servers.add(server_id)  # also if it was not cordoned here
         self.measure_fleet()
