--- a/flaxstep/routing/__init__.py
+++ b/flaxstep/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a load-balancing proxy, as a library."""
+"""The routing decisions of a load-balancing proxy, without any I/O."""
 
 from flaxstep.routing.interface import Settings
 from flaxstep.routing.policy import Policy
--- a/flaxstep/routing/hash_ring.py
+++ b/flaxstep/routing/hash_ring.py
@@ -1,74 +1,78 @@
-"""A consistent-hash ring whose changes cost what changed."""
+"""A consistent-hash ring; the cost of a change depends on the points changed, not on the ring's size."""
 
 from __future__ import annotations
 
 from bisect import bisect, bisect_left, insort
 from collections.abc import Mapping
 
-BITS = 64
-MASK = (1 << BITS) - 1
-SECTOR_BITS = 8  # the ring is kept in 2 ** 8 sectors, so that an insertion moves few points
-KEY_STEP = 0x632BE59BD9B4E019  # between the places of one key
+HASH_BITS = 64
+HASH_MASK = (1 << HASH_BITS) - 1
+SECTOR_BITS = 8  # the ring has 2 ** 8 sectors, so that an insertion moves few points
+KEY_PLACE_STRIDE = 0x632BE59BD9B4E019  # distance between the places of one key on the ring
 
-Point = tuple[int, int]  # where on the ring, and whose
+Point = tuple[int, int]  # position on the ring, endpoint
 
 
-def mix(x: int) -> int:
-    """Scatter a number over 64 bits; the same at every node."""
-    x = (x ^ (x >> 31)) * 0x9E3779B97F4A7C15 & MASK
-    x = (x ^ (x >> 29)) * 0xBF58476D1CE4E5B9 & MASK
-    return x ^ (x >> 32)
+def mix_bits(number: int) -> int:
+    """Return a 64-bit hash of a number; all nodes compute the same."""
+    number = (number ^ (number >> 31)) * 0x9E3779B97F4A7C15 & HASH_MASK
+    number = (number ^ (number >> 29)) * 0xBF58476D1CE4E5B9 & HASH_MASK
+    return number ^ (number >> 32)
 
 
 class HashRing:
-    """Points of endpoints on a ring; a key belongs to the endpoint of the next point."""
+    """Points of endpoints on a ring; a position belongs to the endpoint of the next point."""
 
     def __init__(self) -> None:
-        self._sectors: list[list[Point]] = [[] for _ in range(1 << SECTOR_BITS)]  # each in order
-        self._counts: dict[int, int] = {}  # points by endpoint
-        self._points: dict[int, list[Point]] = {}  # made for an endpoint so far, at least those on the ring
+        self._sectors: list[list[Point]] = [[] for _ in range(1 << SECTOR_BITS)]  # each sorted
+        self._point_counts: dict[int, int] = {}  # by endpoint
+        # By endpoint: all points computed so far; the first ones, as many as its count, are on the ring.
+        self._points: dict[int, list[Point]] = {}
 
     def __len__(self) -> int:
         return sum(map(len, self._sectors))
 
     def assign(self, counts: Mapping[int, int]) -> None:
-        """These endpoints have so many points each, all others none."""
-        gone = {i: 0 for i in self._counts if i not in counts}
-        self.update(gone | dict(counts))
+        """Set the number of points of these endpoints and remove all others from the ring."""
+        removed = {endpoint: 0 for endpoint in self._point_counts if endpoint not in counts}
+        self.update(removed | dict(counts))
 
     def update(self, counts: Mapping[int, int]) -> None:
-        """These endpoints have so many points each from now on; the others keep theirs."""
+        """Set the number of points of these endpoints; the others keep theirs."""
         for endpoint, count in counts.items():
-            before = self._counts.get(endpoint, 0)
-            if count != before:
-                self._change(endpoint, before, count)
+            old_count = self._point_counts.get(endpoint, 0)
+            if count != old_count:
+                self._change_points(endpoint, old_count, count)
 
-    def _change(self, endpoint: int, before: int, after: int) -> None:
+    def _change_points(self, endpoint: int, old_count: int, new_count: int) -> None:
         points = self._points.setdefault(endpoint, [])
-        for number in range(len(points), after):
-            points.append((mix(endpoint * 1000003 + number), endpoint))
-        for point in points[after:before]:
-            sector = self._sector(point[0])
+        for point_number in range(len(points), new_count):
+            points.append((mix_bits(endpoint * 1000003 + point_number), endpoint))
+        for point in points[new_count:old_count]:
+            sector = self._find_sector(point[0])
             del sector[bisect_left(sector, point)]
-        for point in points[before:after]:
-            insort(self._sector(point[0]), point)
-        if after:
-            self._counts[endpoint] = after
+        for point in points[old_count:new_count]:
+            insort(self._find_sector(point[0]), point)
+        if new_count:
+            self._point_counts[endpoint] = new_count
         else:
-            del self._counts[endpoint], self._points[endpoint]
-
-    def _sector(self, at: int) -> list[Point]:
-        return self._sectors[at >> (BITS - SECTOR_BITS)]
-
-    def place(self, key: int, number: int) -> int:
-        """The endpoint of a key's place of that number; IndexError on an empty ring."""
-        at = mix(key + number * KEY_STEP & MASK)
-        sector = self._sector(at)
-        spot = bisect(sector, (at, 0))
-        if spot < len(sector):
-            return sector[spot][1]
-        first = (at >> (BITS - SECTOR_BITS)) + 1
-        for further in range(first, first + len(self._sectors)):
-            if sector := self._sectors[further % len(self._sectors)]:
+            del self._point_counts[endpoint], self._points[endpoint]
+
+    def _find_sector(self, position: int) -> list[Point]:
+        return self._sectors[position >> (HASH_BITS - SECTOR_BITS)]
+
+    def find_endpoint(self, key: int, place_number: int) -> int:
+        """Return the endpoint at a key's place with this number.
+
+        Raises IndexError on an empty ring.
+        """
+        position = mix_bits(key + place_number * KEY_PLACE_STRIDE & HASH_MASK)
+        sector = self._find_sector(position)
+        index = bisect(sector, (position, 0))
+        if index < len(sector):
+            return sector[index][1]
+        next_sector = (position >> (HASH_BITS - SECTOR_BITS)) + 1
+        for sector_number in range(next_sector, next_sector + len(self._sectors)):
+            if sector := self._sectors[sector_number % len(self._sectors)]:
                 return sector[0][1]
         raise IndexError("an empty ring has no places")
--- a/flaxstep/routing/membership.py
+++ b/flaxstep/routing/membership.py
@@ -1,6 +1,6 @@
-"""What the node may believe of its list of endpoints: for how long it holds, and which of two lists wins.
+"""How long the list of endpoints may be used, and which of two conflicting lists takes precedence.
 
-Pure state: no clock of its own, no sockets. Times are milliseconds on the caller's monotonic clock.
+The classes hold state only: no clock and no sockets. Times are milliseconds on the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,54 +10,55 @@
 
 from flaxstep.routing.interface import ListKind, Reach, ServerEntry, Settings, State
 
-# A change counts as told this long after discovery had it and could be reached, whether or not it arrived
-# (PROTOCOL, Figures; STANDING), and this long after SIGHUP (TERMS, Configuration changes).
-UNSEEN_CHANGE_IN_FORCE_MS = 6000.0
-OLD_ADDRESS_LIST_VALID_MS = 4000.0
-# Discovery may end a watch in place of telling a change (STANDING), which then counts as told 2 s after it
-# was due: seen in the incident of 2026-12-03, no page gives the time. The end came up to 0.5 s late.
+# A node counts as notified of a change this long after discovery had it and could be reached, whether or not
+# the change arrived (PROTOCOL, Figures; STANDING).
+DEEMED_NOTIFIED_AFTER_MS = 6000.0
+OLD_ADDRESS_LIST_VALID_MS = 4000.0  # the same after SIGHUP (TERMS, Configuration changes)
+# Discovery may end a watch instead of sending a change (STANDING). A node then counts as notified 2 s after
+# the change was due, as seen in the incident of 2026-12-03; no page gives the time. The end came up to 0.5 s
+# late.
 CLOSED_WATCH_LIST_VALID_MS = 1500.0
-# The address before SIGHUP closes its connections after 1.5 s (TERMS), and a node may be held up: what still
-# comes from there in this time may be old.
+# The discovery address in use before SIGHUP closes its connections after 1.5 s (TERMS), and a node may be
+# delayed: what arrives from there within this time may be out of date.
 OLD_ADDRESS_DELIVERY_MS = 1750.0
-MAX_START_MS = 1000.0  # a process has run for less than this when it notes that it has started
-MIN_RESETS_OF_OUTAGE = 2  # in a row: one is what any connection may meet
-MAX_PROOF_GAP_MS = 2000.0  # between two proofs of one outage; tries follow each other by 1.5 s at most
-MAX_TOMBSTONES = 8192  # endpoints that have left; the oldest are forgotten beyond that
+MAX_START_MS = 1000.0  # from the start of a process until it reports that it has started
+MIN_RESETS_OF_OUTAGE = 2  # in a row: any connection may be reset once
+MAX_PROOF_GAP_MS = 2000.0  # between two proofs of one outage; calls follow each other within 1.5 s
+MAX_TOMBSTONES = 8192  # endpoints that have left; beyond that the oldest are dropped
 
 
 class MembershipLease:
-    """How long the list at hand may be routed by: until a change unknown to the node may count as told.
+    """How long the current list may be used: until the node may count as notified of a change unknown to it.
 
-    Two bounds hold side by side. The fixed one runs from silence, from SIGHUP, from the orderly end of a
-    watch and from news that got lost; only a sign that the list is current ends it. The other one runs while
-    there is no watch. Discovery learns nothing while it is down, so each proof that it could not serve moves
-    that one on, counted from the time that the proof speaks of, as long as proofs follow one another without
-    a gap. So the next contact finds the bound that counts from discovery's return.
+    Two expiry times apply side by side. The fixed one is set by silence, by SIGHUP, by the normal end of a
+    watch and by lost news; only a sign that the list is current removes it. The other one applies while there
+    is no watch. Discovery learns of no changes while it is down, so each proof that it could not serve
+    extends this expiry, counted from the time to which the proof refers, as long as the proofs follow one
+    another without a gap. Thus at the next contact the expiry is counted from discovery's return.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.list_is_pushed = not settings.ask_for_list
-        self.send_margin_ms = settings.drain_grace / 2  # the other half covers the way to the endpoint
-        # A change that could be asked for counts as told so long after it; one that is pushed, at once.
+        # The other half of the grace covers the transfer to the endpoint.
+        self.send_margin_ms = settings.drain_grace / 2
+        # A node that calls for changes counts as notified this long after one; with pushed lists, at once.
         self.unwatched_validity_ms = (
-            self.send_margin_ms
-            if self.list_is_pushed
-            else min(UNSEEN_CHANGE_IN_FORCE_MS, settings.ask_within)
+            self.send_margin_ms if self.list_is_pushed else min(DEEMED_NOTIFIED_AFTER_MS, settings.ask_within)
         )
-        self.fixed_expiry = math.inf  # clock times, ms
+        self.fixed_expiry = math.inf
         self.unwatched_expiry = math.inf
         self.confirmed_at = -math.inf
         self.moved_at = -math.inf
-        self.consecutive_resets = 0  # in a row
-        self.proven_until = -math.inf  # up to then the list was current, or discovery proven down
+        self.consecutive_resets = 0
+        self.proven_until = -math.inf  # until then the list was current or discovery was proven down
 
     @property
     def expires(self) -> float:
+        """The clock time from which the list may no longer be used."""
         return min(self.fixed_expiry, self.unwatched_expiry)
 
     def record_reach(self, now: float, reach: Reach, since: float) -> None:
-        """Take up what discovery shows at `now`, by a call that began at `since`."""
+        """Record what was learned about discovery at `now`, by a call that began at `since`."""
         if reach is Reach.CONFIRMED:
             self._confirm(now, since)
         elif reach is Reach.STARTED:
@@ -69,12 +70,10 @@
             self.moved_at = since
             self._limit_fixed_expiry(since + OLD_ADDRESS_LIST_VALID_MS)
         elif reach is Reach.SILENT:
-            self._limit_fixed_expiry(self.confirmed_at + UNSEEN_CHANGE_IN_FORCE_MS)
-        elif reach is Reach.NEWS_LOST:  # written, so told (STANDING)
+            self._limit_fixed_expiry(self.confirmed_at + DEEMED_NOTIFIED_AFTER_MS)
+        elif reach is Reach.NEWS_LOST:  # a change that was sent counts as notified (STANDING)
             self._limit_fixed_expiry(now)
-        elif (
-            reach is Reach.CLOSED and not self.list_is_pushed
-        ):  # by a discovery that is there, and may have news
+        elif reach is Reach.CLOSED and not self.list_is_pushed:  # discovery is up and may have news
             self._limit_fixed_expiry(now + CLOSED_WATCH_LIST_VALID_MS)
         elif reach in (Reach.CLOSED, Reach.BROKEN, Reach.UNWATCHED):
             self.proven_until = now
@@ -90,57 +89,59 @@
             self._extend_unwatched_expiry(since, now)
 
     def _confirm(self, now: float, since: float) -> None:
+        """Start the lease anew, unless the confirmation may come from the address before SIGHUP."""
         if since < self.moved_at and now < self.moved_at + OLD_ADDRESS_DELIVERY_MS:
             return
         self.confirmed_at = self.proven_until = now
         self.fixed_expiry = math.inf
-        self.unwatched_expiry = now + UNSEEN_CHANGE_IN_FORCE_MS
+        self.unwatched_expiry = now + DEEMED_NOTIFIED_AFTER_MS
         self.consecutive_resets = 0
 
-    def _limit_fixed_expiry(self, end: float) -> None:
-        self.fixed_expiry = min(self.fixed_expiry, end)
+    def _limit_fixed_expiry(self, expiry: float) -> None:
+        self.fixed_expiry = min(self.fixed_expiry, expiry)
 
     def _extend_unwatched_expiry(self, down_at: float, now: float) -> None:
-        """Discovery could not serve from then on: what it learns counts from later.
+        """Extend the lease by a proof that discovery could not serve at `down_at`.
 
-        After a gap it may have been there meanwhile, with a change that counts from the gap on.
+        After a gap between proofs there is no extension: discovery may have been up in the gap and may have
+        learned of a change.
         """
         if down_at - self.proven_until <= MAX_PROOF_GAP_MS:
             self.proven_until = now
             self.unwatched_expiry = max(self.unwatched_expiry, down_at + self.unwatched_validity_ms)
 
     def is_valid(self, now: float) -> bool:
-        """Whether requests may be sent by the list at hand."""
+        """Whether requests may be routed by the current list."""
         return now < self.expires
 
     def compute_send_window(self, now: float) -> float:
-        """ms from now in which what is decided by this list has to go out."""
+        """Return for how many ms from now a request routed by this list may still be sent."""
         return self.expires + self.send_margin_ms - now
 
 
 @dataclass(slots=True, frozen=True)
 class Tombstone:
-    """An endpoint that was told to be draining or gone: in which version, and its start then."""
+    """The list version that reported an endpoint as draining or gone, and the endpoint's start time."""
 
     version: int
     started: float
 
 
 class Membership:
-    """The endpoints of the list in force; makes sure that an older list takes no drain back.
+    """The endpoints of the current list; an older list can't undo a drain.
 
-    A list of a lower version than the one that told a drain may come from a replica that is behind. It is
-    taken for what it adds, but the endpoint stays out until a later version, or a later start, says
-    otherwise.
+    A list of a lower version than the one that reported a drain may come from a replica that is behind. Its
+    other entries are applied, but the endpoint keeps draining until a list has a later version or a later
+    start of the endpoint.
     """
 
     def __init__(self) -> None:
         self.listed: dict[int, ServerEntry] = {}
         self.tombstones: dict[int, Tombstone] = {}
-        self.newest_version = 0  # version
+        self.newest_version = 0
 
     def resolve(self, kind: ListKind, version: int | None, entries: list[ServerEntry]) -> list[ServerEntry]:
-        """The entries as they hold from now on, in the order given.
+        """Return the entries as they apply from now on, in the order given.
 
         A list without a version counts as the newest.
         """
@@ -148,9 +149,9 @@
             version = self.newest_version
         self.newest_version = max(self.newest_version, version)
         if kind is not ListKind.DELTA:
-            named = {entry.id for entry in entries}
-            for missing in [entry for entry in self.listed.values() if entry.id not in named]:
-                self._record_drain(version, missing)
+            listed_ids = {entry.id for entry in entries}
+            for missing_entry in [entry for entry in self.listed.values() if entry.id not in listed_ids]:
+                self._record_drain(version, missing_entry)
         resolved = [self._resolve_entry(version, entry) for entry in entries]
         self._drop_old_tombstones()
         return resolved
@@ -171,8 +172,8 @@
 
     def _record_drain(self, version: int, entry: ServerEntry) -> None:
         tombstone = self.tombstones.pop(entry.id, None)
-        newest = version if tombstone is None else max(version, tombstone.version)
-        self.tombstones[entry.id] = Tombstone(newest, entry.started)
+        drain_version = version if tombstone is None else max(version, tombstone.version)
+        self.tombstones[entry.id] = Tombstone(drain_version, entry.started)
         self.listed.pop(entry.id, None)
 
     def _drop_old_tombstones(self) -> None:
--- a/flaxstep/routing/policy.py
+++ b/flaxstep/routing/policy.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from flaxstep.routing.hash_ring import HashRing, mix
+from flaxstep.routing.hash_ring import HashRing, mix_bits
 from flaxstep.routing.interface import (
     MAY_RUN_ON,
     NEVER_RAN,
@@ -647,8 +647,8 @@
                 self.key_counts.get(key, 0.0) / self.key_counts_total * self.subset_size * KEY_SPREAD_FACTOR
             )
             first_place = int(self.random.random() * places)
-            yield self.ring.place(key, first_place)
-            yield self.ring.place(key, (first_place + 1) % max(places, 2))
+            yield self.ring.find_endpoint(key, first_place)
+            yield self.ring.find_endpoint(key, (first_place + 1) % max(places, 2))
         sampled = [
             self.subset_servers[int(self.random.random() * self.subset_size)]
             for _ in range(CANDIDATES)
@@ -1132,14 +1132,14 @@
 
     def add_ready_server(self, server_id: int) -> None:
         """Add a server to the ready ones."""
-        insort(self.ready_servers, server_id, key=mix)
+        insort(self.ready_servers, server_id, key=mix_bits)
         self.ready_by_size_and_kind.setdefault(self.get_size_and_kind(server_id), set()).add(server_id)
         self.possibly_cold_servers.add(server_id)
         self.changed_servers.add(server_id)
 
     def remove_ready_server(self, entry: ServerEntry) -> None:
         """Remove a server from the ready ones; `entry` is the entry with which it was added."""
-        del self.ready_servers[bisect_left(self.ready_servers, mix(entry.id), key=mix)]
+        del self.ready_servers[bisect_left(self.ready_servers, mix_bits(entry.id), key=mix_bits)]
         size_and_kind = entry.size, entry.kind
         self.ready_by_size_and_kind[size_and_kind].discard(entry.id)
         if not self.ready_by_size_and_kind[size_and_kind]:
--- a/flaxstep/routing/simulator_adapter.py
+++ b/flaxstep/routing/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Hosts one Policy for each instance on the simulator's wire. It decides nothing."""
+"""Runs one Policy per simulated node over the simulator's wire protocol, on standard input and output."""
 
 from __future__ import annotations
 
@@ -8,45 +8,56 @@
 from typing import BinaryIO
 
 from flaxstep.routing.policy import Policy
-from flaxstep.routing.simulator_wire import BATCH_HEAD, Born, Decoder, Encoder, Killed, WireError
+from flaxstep.routing.simulator_wire import (
+    BATCH_HEADER,
+    Decoder,
+    Encoder,
+    InstanceStarted,
+    InstanceStopped,
+    WireError,
+)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Read batches of events and write a reply to each until the input ends."""
     decoder = Decoder()
-    nodes: dict[int, Policy] = {}
-    while head := source.read(BATCH_HEAD.size):
-        if len(head) < BATCH_HEAD.size:
-            raise WireError(f"batch header: the input ends after {len(head)} of {BATCH_HEAD.size} bytes")
-        number, length, _, _ = BATCH_HEAD.unpack(head)
-        if length < BATCH_HEAD.size:
-            raise WireError(f"batch {number}: a length of {length} is shorter than its header")
-        body = source.read(length - BATCH_HEAD.size)
-        if len(body) < length - BATCH_HEAD.size:
-            raise WireError(f"batch {number}: the input ends inside a frame of {length} bytes")
-        number, now, events = decoder.batch(head + body)
-        reply = Encoder(number)
+    policies: dict[int, Policy] = {}
+    while header := source.read(BATCH_HEADER.size):
+        if len(header) < BATCH_HEADER.size:
+            raise WireError(f"batch header: the input ends after {len(header)} of {BATCH_HEADER.size} bytes")
+        batch_number, length, _, _ = BATCH_HEADER.unpack(header)
+        if length < BATCH_HEADER.size:
+            raise WireError(f"batch {batch_number}: a length of {length} is shorter than its header")
+        body = source.read(length - BATCH_HEADER.size)
+        if len(body) < length - BATCH_HEADER.size:
+            raise WireError(f"batch {batch_number}: the input ends inside a frame of {length} bytes")
+        batch_number, now, events = decoder.decode_batch(header + body)
+        reply = Encoder(batch_number)
         for instance, event in events:
             kind = type(event)
-            if kind is Killed:
-                nodes.pop(instance, None)
+            if kind is InstanceStopped:
+                policies.pop(instance, None)
                 continue
-            if kind is not Born and instance not in nodes:
-                raise WireError(f"batch {number}: instance {instance} was never started")
+            if kind is not InstanceStarted and instance not in policies:
+                raise WireError(f"batch {batch_number}: instance {instance} was never started")
             try:
-                if isinstance(event, Born):
-                    nodes[instance] = Policy(event.settings, event.seed)
+                if isinstance(event, InstanceStarted):
+                    policies[instance] = Policy(event.settings, event.seed)
                 else:
-                    reply.add(instance, nodes[instance].handle(now, event))  # type: ignore[arg-type]
-            except Exception as error:  # whatever it was, the simulator must hear of it
+                    reply.add_actions(
+                        instance,
+                        policies[instance].handle(now, event),  # type: ignore[arg-type]
+                    )
+            except Exception as error:  # of any kind: it is reported to the simulator
                 traceback.print_exc()
-                reply.fatal(instance, f"{type(error).__name__}: {error}")
+                reply.add_fatal(instance, f"{type(error).__name__}: {error}")
                 break
-        sink.write(reply.frame())
+        sink.write(reply.to_frame())
         sink.flush()
 
 
 def main() -> int:
+    """Serve until the input ends; return 2 if it is malformed."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -568,7 +568,7 @@
     places = []
     for me in (0, 1, 23):
         stage = Stage(settings(classes=(SAFE,), group_size=24, me=me, warm_keys=True), servers=80)
-        places.append([stage.policy.ring.place(key, 0) for key in range(1, 200)])
+        places.append([stage.policy.ring.find_endpoint(key, 0) for key in range(1, 200)])
     assert places[0] == places[1]
     assert not set(places[0]) & set(places[2])
 
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -32,8 +32,8 @@
     fresh = HashRing()
     fresh.assign(wanted)
     assert len(ring) == len(fresh) == sum(wanted.values())
-    assert [ring.place(key, n) for key in range(60) for n in (0, 1)] == [
-        fresh.place(key, n) for key in range(60) for n in (0, 1)
+    assert [ring.find_endpoint(key, n) for key in range(60) for n in (0, 1)] == [
+        fresh.find_endpoint(key, n) for key in range(60) for n in (0, 1)
     ]
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The loop as a process: clean ends, plain messages, and Fatal when the module breaks."""
+"""The adapter as a process: clean exits, clear errors, and Fatal when the decision module raises."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from flaxstep.routing.policy import Policy
 from tests.test_simulator_wire import EVENTS
 
-EMPTY = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
+EMPTY_BATCH = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
 
 
-def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         [sys.executable, "-B", "-m", "flaxstep.routing.simulator_adapter"],
         input=data,
@@ -24,9 +24,9 @@
     )
 
 
-def test_empty_batch_and_clean_end() -> None:
-    done = run(EMPTY)
-    assert (done.returncode, done.stdout, done.stderr) == (
+def test_empty_batch_gets_an_empty_reply_and_the_adapter_exits_cleanly() -> None:
+    process = run_adapter(EMPTY_BATCH)
+    assert (process.returncode, process.stdout, process.stderr) == (
         0,
         bytes.fromhex("00000001 0000000c 00000000"),
         b"",
@@ -34,23 +34,23 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
-        (EMPTY[:7], b"header"),
-        (EMPTY[:7] + b"\x02" + EMPTY[8:], b"shorter"),
+        (EMPTY_BATCH[:7], b"header"),
+        (EMPTY_BATCH[:7] + b"\x02" + EMPTY_BATCH[8:], b"shorter"),
         (EVENTS[:100], b"ends inside"),
         (EVENTS, b"instance 3 was never started"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, words: bytes) -> None:
-    done = run(data)
-    assert done.returncode == 2
-    assert done.stdout == b""
-    assert words in done.stderr
-    assert done.stderr.count(b"\n") == 1
+def test_malformed_input_ends_the_adapter_with_one_error_line(data: bytes, message: bytes) -> None:
+    process = run_adapter(data)
+    assert process.returncode == 2
+    assert process.stdout == b""
+    assert message in process.stderr
+    assert process.stderr.count(b"\n") == 1
 
 
-def test_exception_in_the_module_is_reported_as_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_decision_module_is_reported_as_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
     from tests.test_simulator_wire import SETTINGS, json, struct
 
     def broken(self: Policy, now: float, event: object) -> list[object]:
@@ -58,9 +58,9 @@
 
     monkeypatch.setattr(Policy, "handle", broken)
     text = json.dumps(SETTINGS).encode()
-    born = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
+    started = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
     timer = b"\x07" + bytes(47)
-    frame = struct.pack(">IIdI", 1, 164 + len(text), 1.0, 3) + EVENTS[20:68] + born + timer + text
+    frame = struct.pack(">IIdI", 1, 164 + len(text), 1.0, 3) + EVENTS[20:68] + started + timer + text
     sink = io.BytesIO()
     simulator_adapter.serve(io.BytesIO(frame), sink)
     reply = sink.getvalue()
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The wire against the frames printed in its description, and against malformed input."""
+"""The simulator's wire protocol against the frames printed in its description and malformed input."""
 
 from __future__ import annotations
 
@@ -25,7 +25,14 @@
     Wake,
     Withdrawn,
 )
-from flaxstep.routing.simulator_wire import Born, Decoder, Encoder, Killed, WireError, read_settings
+from flaxstep.routing.simulator_wire import (
+    Decoder,
+    Encoder,
+    InstanceStarted,
+    InstanceStopped,
+    WireError,
+    read_settings,
+)
 
 EVENTS = bytes.fromhex(
     "0000000c 00000104 40c06e2000000000 00000005"
@@ -35,7 +42,7 @@
     + "0c0005" + "00" * 45
     + "06 000aa5520e6f2b19" + "00" * 39
 )  # fmt: skip
-ANSWER = bytes.fromhex(
+REPLY = bytes.fromhex(
     "0000000c 00000095 00000005"
     + "010003" + "00" * 21
     + "08 000464905d3a91c4 03124a07 4054000000000000" + "00" * 3
@@ -79,30 +86,37 @@
 }
 
 
-def test_events_as_printed() -> None:
-    number, now, events = Decoder().batch(EVENTS)
-    job = 0x000464905D3A91C4
+def test_events_are_decoded_as_printed() -> None:
+    number, now, events = Decoder().decode_batch(EVENTS)
+    request_id = 0x000464905D3A91C4
     assert (number, now) == (12, 8412.25)
     assert events == [
-        (3, Request(job, 0, 8652.25, 0x91F03B7C55D20A64, 0, 12.0, False)),
+        (3, Request(request_id, 0, 8652.25, 0x91F03B7C55D20A64, 0, 12.0, False)),
         (3, Timer(77)),
         (5, Withdrawn(0x000AA5520E6F2B19)),
     ]
 
 
-def test_reply_as_printed() -> None:
+def test_reply_is_encoded_as_printed() -> None:
     reply = Encoder(12)
-    reply.add(3, [Send(0x000464905D3A91C4, 0x03124A07, 80.0), Wake(500.0, 77)])
-    reply.add(5, [Log("two servers known")])
-    assert reply.frame() == ANSWER
-    assert Encoder(1).frame() == bytes.fromhex("00000001 0000000c 00000000")
+    reply.add_actions(3, [Send(0x000464905D3A91C4, 0x03124A07, 80.0), Wake(500.0, 77)])
+    reply.add_actions(5, [Log("two servers known")])
+    assert reply.to_frame() == REPLY
+    assert Encoder(1).to_frame() == bytes.fromhex("00000001 0000000c 00000000")
 
 
-def test_other_actions_as_printed() -> None:
+def test_other_actions_are_encoded_as_printed() -> None:
     reply = Encoder(1)
-    job = 0x000AA5520E6F2B19
-    reply.add(
-        3, [Cancel(0x000464905D3A91C4, 0), Refuse(job, 250.0), Fail(job), Probe(0x2C9011F2), Subscribe()]
+    request_id = 0x000AA5520E6F2B19
+    reply.add_actions(
+        3,
+        [
+            Cancel(0x000464905D3A91C4, 0),
+            Refuse(request_id, 250.0),
+            Fail(request_id),
+            Probe(0x2C9011F2),
+            Subscribe(),
+        ],
     )
     records = [
         "010003" + "00" * 21,
@@ -112,12 +126,12 @@
         "0b2c9011f2" + "00" * 19,
         "0901" + "00" * 22,
     ]
-    assert reply.frame()[12:] == bytes.fromhex("".join(records))
+    assert reply.to_frame()[12:] == bytes.fromhex("".join(records))
 
 
-def test_list_as_printed_is_kept_for_later_batches() -> None:
+def test_list_is_decoded_as_printed_and_kept_for_later_batches() -> None:
     decoder = Decoder()
-    [(instance, event)] = decoder.batch(LIST)[2]
+    [(instance, event)] = decoder.decode_batch(LIST)[2]
     assert instance == 3
     assert isinstance(event, ServerList)
     assert (event.kind, event.version) == (ListKind.CACHED, 41)
@@ -125,24 +139,24 @@
         (0x03124A07, 0, State.READY, 1.0, 0.0),
         (0x2C9011F2, 1, State.READY, 1.5, 6100.0),
     ]
-    again = struct.pack(">IIdI", 2, 116, 1.0, 2) + LIST[20:68] + LIST[116:164]
-    assert decoder.batch(again)[2] == [(3, event)]
+    second_batch = struct.pack(">IIdI", 2, 116, 1.0, 2) + LIST[20:68] + LIST[116:164]
+    assert decoder.decode_batch(second_batch)[2] == [(3, event)]
 
 
-def test_outcome_and_killed() -> None:
+def test_outcome_and_stop_of_an_instance() -> None:
     record = "05 000464905d3a91c4 03124a07 01 01 00 4032800000000000 01 3f000000" + "00" * 12 + "00" * 7
     frame = struct.pack(">IIdI", 1, 164, 1.0, 3) + EVENTS[20:68] + bytes.fromhex(record) + b"\x0a" + bytes(47)
-    (_, outcome), (_, killed) = Decoder().batch(frame)[2]
+    (_, outcome), (_, stopped) = Decoder().decode_batch(frame)[2]
     assert outcome == Outcome(0x000464905D3A91C4, 0x03124A07, True, 1, 0, 18.5, (0.5,))
-    assert isinstance(killed, Killed)
+    assert isinstance(stopped, InstanceStopped)
 
 
-def test_born_brings_settings_and_passes_unknown_keys_over() -> None:
+def test_start_of_an_instance_carries_settings_and_unknown_keys_are_ignored() -> None:
     text = json.dumps(SETTINGS).encode()
-    head = struct.pack(">IIdI", 1, 116 + len(text), 1.0, 2)
-    born = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
-    [(_, event)] = Decoder().batch(head + EVENTS[20:68] + born + text)[2]
-    assert isinstance(event, Born)
+    header = struct.pack(">IIdI", 1, 116 + len(text), 1.0, 2)
+    started = b"\x01" + struct.pack(">QII", 9, 0, len(text)) + bytes(31)
+    [(_, event)] = Decoder().decode_batch(header + EVENTS[20:68] + started + text)[2]
+    assert isinstance(event, InstanceStarted)
     assert event.seed == 9
     assert event.settings.classes[0].effect is Effect.KEYED
     assert event.settings.ask_for_list
@@ -164,7 +178,7 @@
         ({"Allowed": {}}, "MaxAttempts"),
     ],
 )
-def test_settings_that_cannot_work_are_named(change: dict[str, object], word: str) -> None:
+def test_error_names_the_invalid_setting(change: dict[str, object], word: str) -> None:
     with pytest.raises(WireError, match=word):
         read_settings(json.dumps({**SETTINGS, **change}).encode())
 
@@ -181,13 +195,13 @@
         (LIST[:164] + LIST[164:171] + b"\x00\x00\x09" + LIST[174:], "phase"),
     ],
 )
-def test_malformed_frames_are_named(frame: bytes, word: str) -> None:
+def test_error_names_the_fault_of_a_malformed_frame(frame: bytes, word: str) -> None:
     with pytest.raises(WireError, match=word):
-        Decoder().batch(frame)
+        Decoder().decode_batch(frame)
 
 
-def test_settings_that_cannot_be_read_are_named_with_their_batch() -> None:
-    born = b"\x01" + struct.pack(">QII", 9, 0, 4) + bytes(31)
-    frame = struct.pack(">IIdI", 7, 120, 1.0, 2) + EVENTS[20:68] + born + b"{no}"
+def test_error_names_the_batch_of_unreadable_settings() -> None:
+    started = b"\x01" + struct.pack(">QII", 9, 0, 4) + bytes(31)
+    frame = struct.pack(">IIdI", 7, 120, 1.0, 2) + EVENTS[20:68] + started + b"{no}"
     with pytest.raises(WireError, match="batch 7, byte 68: settings: not JSON"):
-        Decoder().batch(frame)
+        Decoder().decode_batch(frame)
