--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -15,87 +15,89 @@
 from flaxstep.proxy.shared_state import OperatorState, SharedState
 from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
 from tests.net import WAIT, Peer, Stand, request, running
-from tests.support import START, Stage, server, settings
+from tests.support import START, PolicyHarness, make_server_entry, make_settings
 from tests.test_admin import DOOR, until
 from tests.test_metrics import stats
 from tests.test_node import run
 
 
-def targets(stage: Stage, requests: int, step: float = 5.0) -> list[int]:
+def targets(harness: PolicyHarness, requests: int, step: float = 5.0) -> list[int]:
     """Where so many requests go; each is served."""
     found = []
     for _ in range(requests):
-        stage.request()
-        for number, attempt in list(stage.open):
-            found.append(stage.attempts[number][attempt][1].id)
-            stage.outcome(number, attempt, Result.OK)
-        stage.advance(step)
+        harness.send_request()
+        for number, attempt in list(harness.open_attempts):
+            found.append(harness.attempts[number][attempt][1].id)
+            harness.report_outcome(number, attempt, Result.OK)
+        harness.advance_time(step)
     return found
 
 
 def test_a_server_that_is_out_gets_nothing_whatever_the_lists_say() -> None:
-    stage = Stage(settings())
-    stage.give(Cordon(3))
+    harness = PolicyHarness(make_settings())
+    harness.dispatch_event(Cordon(3))
     changes: list[Any] = [
         lambda: None,
-        lambda: stage.list([server(3)]),
-        lambda: stage.list([server(3, State.DRAINING)]),
-        lambda: stage.list([server(3)]),
-        lambda: stage.list([server(i) for i in range(8) if i != 3], ListKind.FULL),
-        lambda: stage.list([server(3, started=START - 100.0)]),
-        lambda: stage.list([server(i) for i in range(8)], ListKind.FULL),
-        lambda: stage.give(Cordon(3)),
+        lambda: harness.send_list([make_server_entry(3)]),
+        lambda: harness.send_list([make_server_entry(3, State.DRAINING)]),
+        lambda: harness.send_list([make_server_entry(3)]),
+        lambda: harness.send_list([make_server_entry(i) for i in range(8) if i != 3], ListKind.FULL),
+        lambda: harness.send_list([make_server_entry(3, started=START - 100.0)]),
+        lambda: harness.send_list([make_server_entry(i) for i in range(8)], ListKind.FULL),
+        lambda: harness.dispatch_event(Cordon(3)),
     ]
     for change in changes:
         change()
-        got = targets(stage, 60)
+        got = targets(harness, 60)
         assert len(got) == 60 and 3 not in got
-        assert stage.policy.find_avoided_servers(stage.now) == {3}
+        assert harness.policy.find_avoided_servers(harness.now) == {3}
 
 
 def test_a_retry_or_a_repeat_in_a_rack_passes_over_a_server_that_is_out() -> None:
     for out in range(8):
-        stage = Stage(settings(), servers=8)
-        number = stage.request()
-        first = stage.attempts[number][0][1].id
+        harness = PolicyHarness(make_settings(), servers=8)
+        number = harness.send_request()
+        first = harness.attempts[number][0][1].id
         if first == out:
             continue
-        stage.give(Cordon(out))
+        harness.dispatch_event(Cordon(out))
         for attempt in range(3):
-            stage.outcome(number, attempt, Result.FULL)
-        assert out not in [entry.id for _, entry in stage.attempts[number]]
+            harness.report_outcome(number, attempt, Result.FULL)
+        assert out not in [entry.id for _, entry in harness.attempts[number]]
 
 
 def test_one_call_back_brings_a_server_back_soon_and_cold() -> None:
-    stage = Stage(settings(cold_from=0.2, ramp_time=10_000.0))
-    targets(stage, 400)
-    usual = targets(stage, 400).count(6)
-    stage.give(Cordon(6))
-    stage.give(Cordon(6))
-    assert 6 not in targets(stage, 100)
-    stage.give(Uncordon(6, stage.now))
-    got = targets(stage, 400)
+    harness = PolicyHarness(make_settings(cold_from=0.2, ramp_time=10_000.0))
+    targets(harness, 400)
+    usual = targets(harness, 400).count(6)
+    harness.dispatch_event(Cordon(6))
+    harness.dispatch_event(Cordon(6))
+    assert 6 not in targets(harness, 100)
+    harness.dispatch_event(Uncordon(6, harness.now))
+    got = targets(harness, 400)
     assert got[0] == 6  # soon
     assert 1 < got.count(6) < usual / 2  # cold, though the list says that it started long ago
-    stage.advance(10_000.0)
-    assert targets(stage, 400).count(6) > 0.75 * usual  # warm again
+    harness.advance_time(10_000.0)
+    assert targets(harness, 400).count(6) > 0.75 * usual  # warm again
 
 
 def test_a_server_that_is_called_back_is_tried_also_where_chance_would_pass_it_over() -> None:
-    stage = Stage(settings(), servers=8)  # another zone than ours, with idle servers in our own
-    stage.give(Cordon(7))
-    targets(stage, 50)
-    stage.give(Uncordon(7, stage.now))
-    assert targets(stage, 1) == [7]
+    harness = PolicyHarness(
+        make_settings(), servers=8
+    )  # another zone than ours, with idle servers in our own
+    harness.dispatch_event(Cordon(7))
+    targets(harness, 50)
+    harness.dispatch_event(Uncordon(7, harness.now))
+    assert targets(harness, 1) == [7]
 
 
 def test_what_is_unknown_to_the_list_can_be_out_before_it_comes() -> None:
-    stage = Stage(settings(), servers=4)
-    stage.give(Cordon(9))
-    stage.list([server(9)])
-    assert 9 not in targets(stage, 60)
-    stage.give(Uncordon(9, stage.now))
-    assert 9 in targets(stage, 60)
+    harness = PolicyHarness(make_settings(), servers=4)
+    harness.dispatch_event(Cordon(9))
+    harness.send_list([make_server_entry(9)])
+    assert 9 not in targets(harness, 60)
+    harness.dispatch_event(Uncordon(9, harness.now))
+    assert 9 in targets(harness, 60)
 
 
 def test_calls_out_and_back_at_the_door() -> None:
@@ -311,20 +313,20 @@
 
 def cold_rate(tip: float, elapsed: float) -> float:
     """A cold server's share of all requests when it answers in so many ms, and the others in 40."""
-    stage = Stage(settings(cold_from=0.2, ramp_time=60_000.0, tip_multiple=tip), servers=4)
-    stage.give(Cordon(0))
+    harness = PolicyHarness(make_settings(cold_from=0.2, ramp_time=60_000.0, tip_multiple=tip), servers=4)
+    harness.dispatch_event(Cordon(0))
     sent = {server_id: 0 for server_id in range(4)}
     for step in range(1600):
         if step == 800:
-            stage.give(Uncordon(0, stage.now))
-        stage.request()
-        for number, attempt in list(stage.open):
-            at, entry = stage.attempts[number][attempt]
+            harness.dispatch_event(Uncordon(0, harness.now))
+        harness.send_request()
+        for number, attempt in list(harness.open_attempts):
+            at, entry = harness.attempts[number][attempt]
             takes = elapsed if entry.id == 0 else 40.0
-            if stage.now - at >= takes:
-                stage.outcome(number, attempt, Result.OK, takes)
+            if harness.now - at >= takes:
+                harness.report_outcome(number, attempt, Result.OK, takes)
                 sent[entry.id] += step >= 800
-        stage.advance(10.0)
+        harness.advance_time(10.0)
     return sent[0] / sum(sent.values())
 
 
@@ -338,10 +340,10 @@
 def test_of_many_nodes_few_send_to_a_server_at_once_when_it_comes_back() -> None:
     first = 0
     for seed in range(200):
-        stage = Stage(settings(group_size=200), seed=seed, servers=4)
-        stage.give(Cordon(0))
-        stage.give(Uncordon(0, stage.now))
-        first += targets(stage, 1) == [0]
+        harness = PolicyHarness(make_settings(group_size=200), seed=seed, servers=4)
+        harness.dispatch_event(Cordon(0))
+        harness.dispatch_event(Uncordon(0, harness.now))
+        first += targets(harness, 1) == [0]
     assert first < 20
 
 
@@ -349,22 +351,22 @@
     """What waits for answers can't tip it; of many nodes, or after a failure, its age alone counts."""
     got = {}
     for nodes, result in ((2, Result.OK), (400, Result.OK), (2, Result.RESET)):
-        stage = Stage(
-            settings(group_size=nodes, tip_multiple=2.5, tip_time=2000.0, ramp_time=60_000.0), servers=4
+        harness = PolicyHarness(
+            make_settings(group_size=nodes, tip_multiple=2.5, tip_time=2000.0, ramp_time=60_000.0), servers=4
         )
-        stage.give(Cordon(0))
-        targets(stage, 200)
-        stage.give(Uncordon(0, stage.now))
+        harness.dispatch_event(Cordon(0))
+        targets(harness, 200)
+        harness.dispatch_event(Uncordon(0, harness.now))
         for other in range(1, 4):
-            stage.give(Cordon(other))
+            harness.dispatch_event(Cordon(other))
         sent = 0
         for _ in range(300):  # nobody else is there: it gets what it may
-            for number, attempt in list(stage.open):
-                stage.outcome(number, attempt, result)
-            assert len(stage.open) <= 2
-            stage.request()
-            sent += len(stage.open)
-            stage.advance(5.0)
+            for number, attempt in list(harness.open_attempts):
+                harness.report_outcome(number, attempt, result)
+            assert len(harness.open_attempts) <= 2
+            harness.send_request()
+            sent += len(harness.open_attempts)
+            harness.advance_time(5.0)
         got[nodes, result] = sent
     assert got[2, Result.OK] > 250
     assert max(got[400, Result.OK], got[2, Result.RESET]) < 30
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -10,7 +10,7 @@
 from flaxstep.routing.interface import ListKind, Result, ServerList
 from flaxstep.routing.policy import Policy
 from tests.net import CLASSES, OK, Peer, Stand, answer, answer_ok, hang_up, request, running, stay_silent
-from tests.support import server, settings
+from tests.support import make_server_entry, make_settings
 from tests.test_admin import DOOR, until
 from tests.test_node import run
 
@@ -117,8 +117,8 @@
 
 
 def test_a_server_that_rests_for_every_class_is_avoided_and_one_that_serves_some_is_not() -> None:
-    policy = Policy(settings(), 1)
-    policy.handle(0.0, ServerList(ListKind.CACHED, 1, [server(i) for i in range(8)]))
+    policy = Policy(make_settings(), 1)
+    policy.handle(0.0, ServerList(ListKind.CACHED, 1, [make_server_entry(i) for i in range(8)]))
     for cls, health in enumerate(policy.endpoints[3].health):
         assert not policy.find_avoided_servers(10.0)
         health.ejected_until = 100.0 + cls
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -20,7 +20,7 @@
     Subscribe,
     Withdrawn,
 )
-from tests.support import KEYED, SAFE, UNSAFE, Stage, server, settings
+from tests.support import KEYED, SAFE, UNSAFE, PolicyHarness, make_server_entry, make_settings
 
 ZONED = replace(KEYED, group=Group.ZONE, window=300.0)
 CELLED = replace(KEYED, group=Group.CELL, window=300.0)
@@ -54,7 +54,7 @@
     rest: float,
     count: int,
 ) -> None:
-    config = settings(
+    config = make_settings(
         classes=CLASSES,
         may_cancel=cancel,
         ask_for_list=ask,
@@ -64,184 +64,190 @@
         full_may_have_run=no_proof,
         key_rest=rest,
     )
-    stage = Stage(config, seed=len(steps), servers=count)
+    harness = PolicyHarness(config, seed=len(steps), servers=count)
     results = [Result.OK, Result.ERROR, Result.FULL, Result.UNREACHABLE, Result.RESET, Result.NOT_SENT]
     for what, number in steps:
         if what <= 3:
             due = (2.0, 90.0, 900.0)[number % 3]
-            stage.request(number % len(CLASSES), due, key=number % 5, tenant=number % 2 if quotas else 0)
-        elif what <= 6 and stage.open:
-            attempt = sorted(stage.open)[number % len(stage.open)]
-            stage.outcome(*attempt, results[number % len(results)])
+            harness.send_request(
+                number % len(CLASSES), due, key=number % 5, tenant=number % 2 if quotas else 0
+            )
+        elif what <= 6 and harness.open_attempts:
+            attempt = sorted(harness.open_attempts)[number % len(harness.open_attempts)]
+            harness.report_outcome(*attempt, results[number % len(results)])
         elif what == 7:
-            stage.advance(float(number % 400))
-        elif what == 8 and stage.owed:
-            stage.withdraw(sorted(stage.owed)[number % len(stage.owed)])
+            harness.advance_time(float(number % 400))
+        elif what == 8 and harness.pending_requests:
+            harness.withdraw_request(sorted(harness.pending_requests)[number % len(harness.pending_requests)])
         else:
-            entry = server(number % 12, list(State)[number % 3], stage.now if number % 7 == 0 else 0.0)
+            entry = make_server_entry(
+                number % 12, list(State)[number % 3], harness.now if number % 7 == 0 else 0.0
+            )
             kind = (ListKind.DELTA, ListKind.FULL, ListKind.FAILED)[number % 3]
             if kind is ListKind.FULL:
                 entry = replace(entry, state=State.READY)
             if kind is ListKind.FAILED and ask:
-                stage.give(ServerList(ListKind.FAILED, 0, []))
+                harness.dispatch_event(ServerList(ListKind.FAILED, 0, []))
             elif kind is not ListKind.FAILED:
-                stage.list([entry], kind)
-    stage.advance(1000.0)
-    assert not stage.owed
-    assert set(stage.answers) == set(stage.requests)
+                harness.send_list([entry], kind)
+    harness.advance_time(1000.0)
+    assert not harness.pending_requests
+    assert set(harness.final_responses) == set(harness.requests)
 
 
 @pytest.mark.parametrize("cls", range(len(CLASSES)))
 def test_answers_when_no_server_is_ready(cls: int) -> None:
-    stage = Stage(settings(classes=CLASSES), servers=0)
-    number = stage.request(cls)
-    stage.advance(1000.0)
-    assert stage.answers[number] == "refused"
+    harness = PolicyHarness(make_settings(classes=CLASSES), servers=0)
+    number = harness.send_request(cls)
+    harness.advance_time(1000.0)
+    assert harness.final_responses[number] == "refused"
 
 
 def test_answers_when_all_attempts_are_used() -> None:
-    stage = Stage(settings(max_attempts=2))
-    number = stage.request(2)
-    while stage.open:
-        stage.outcome(*next(iter(stage.open)), Result.FULL)
-    assert len(stage.attempts[number]) <= 2
-    assert stage.answers[number] == "refused"
+    harness = PolicyHarness(make_settings(max_attempts=2))
+    number = harness.send_request(2)
+    while harness.open_attempts:
+        harness.report_outcome(*next(iter(harness.open_attempts)), Result.FULL)
+    assert len(harness.attempts[number]) <= 2
+    assert harness.final_responses[number] == "refused"
 
 
 def test_unsafe_request_that_may_have_run_fails_and_is_never_sent_again() -> None:
     for result in (Result.ERROR, Result.RESET, Result.TIMEOUT):
-        stage = Stage(settings())
-        number = stage.request(2)
-        stage.outcome(number, 0, result)
-        assert stage.answers[number] == "failed"
-        assert len(stage.attempts[number]) == 1
+        harness = PolicyHarness(make_settings())
+        number = harness.send_request(2)
+        harness.report_outcome(number, 0, result)
+        assert harness.final_responses[number] == "failed"
+        assert len(harness.attempts[number]) == 1
 
 
 def test_drained_server_gets_nothing_from_the_moment_the_list_says_so() -> None:
-    stage = Stage(settings(), servers=2)
-    stage.list([server(0, State.DRAINING)])
+    harness = PolicyHarness(make_settings(), servers=2)
+    harness.send_list([make_server_entry(0, State.DRAINING)])
     for _ in range(30):
-        stage.request(0)
-    assert {entry.id for sends in stage.attempts.values() for _, entry in sends} == {1}
+        harness.send_request(0)
+    assert {entry.id for sends in harness.attempts.values() for _, entry in sends} == {1}
 
 
 def test_whole_list_that_omits_a_server_drops_it() -> None:
-    stage = Stage(settings(), servers=2)
-    stage.list([server(1)], ListKind.FULL)
+    harness = PolicyHarness(make_settings(), servers=2)
+    harness.send_list([make_server_entry(1)], ListKind.FULL)
     for _ in range(30):
-        stage.request(0)
-    assert {entry.id for sends in stage.attempts.values() for _, entry in sends} == {1}
+        harness.send_request(0)
+    assert {entry.id for sends in harness.attempts.values() for _, entry in sends} == {1}
 
 
 def test_full_is_no_proof_where_the_settings_say_so() -> None:
     # 'full' was always taken as proof: buys went out twice (busan-tickets, simulated: 'duplicate' on 6 days).
     for no_proof, attempts, answer in ((False, 4, "refused"), (True, 1, "failed")):
-        stage = Stage(settings(classes=(UNSAFE,), full_may_have_run=no_proof))
-        number = stage.request()
-        while stage.open:
-            stage.outcome(*next(iter(stage.open)), Result.FULL)
-        assert (len(stage.attempts[number]), stage.answers[number]) == (attempts, answer)
+        harness = PolicyHarness(make_settings(classes=(UNSAFE,), full_may_have_run=no_proof))
+        number = harness.send_request()
+        while harness.open_attempts:
+            harness.report_outcome(*next(iter(harness.open_attempts)), Result.FULL)
+        assert (len(harness.attempts[number]), harness.final_responses[number]) == (attempts, answer)
 
 
 def test_keyed_request_turned_away_without_proof_stays_in_its_zone() -> None:
-    stage = Stage(settings(classes=(replace(ZONED, window=5000.0),), full_may_have_run=True), servers=9)
+    harness = PolicyHarness(
+        make_settings(classes=(replace(ZONED, window=5000.0),), full_may_have_run=True), servers=9
+    )
     for _ in range(40):
-        number = stage.request()
-        while (number, len(stage.attempts[number]) - 1) in stage.open:
-            stage.outcome(number, len(stage.attempts[number]) - 1, Result.FULL)
-        assert stage.answers[number] == "failed"
+        number = harness.send_request()
+        while (number, len(harness.attempts[number]) - 1) in harness.open_attempts:
+            harness.report_outcome(number, len(harness.attempts[number]) - 1, Result.FULL)
+        assert harness.final_responses[number] == "failed"
 
 
-def ordered(**changes: object) -> Stage:
-    return Stage(settings(classes=(ORDERED, ORDERED_TOO, UNSAFE), **changes))
+def ordered(**changes: object) -> PolicyHarness:
+    return PolicyHarness(make_settings(classes=(ORDERED, ORDERED_TOO, UNSAFE), **changes))
 
 
 def test_requests_of_a_key_run_one_at_a_time_in_order() -> None:
     # Keyed order was not known at all (central-rehearsal, simulated: 'order' broken on every day).
-    stage = ordered()
-    line = [stage.request(step % 2, key=7) for step in range(3)]
-    other, free = stage.request(0, key=8), stage.request(2, key=7)
-    assert [len(stage.attempts[n]) for n in [*line, other, free]] == [1, 0, 0, 1, 1]
-    stage.outcome(line[0], 0, Result.OK)
-    assert [len(stage.attempts[n]) for n in line] == [1, 1, 0]
-    stage.withdraw(line[2])  # from the middle of the line
-    last = stage.request(0, key=7)
-    stage.outcome(line[1], 0, Result.OK)
-    assert len(stage.attempts[last]) == 1
+    harness = ordered()
+    line = [harness.send_request(step % 2, key=7) for step in range(3)]
+    other, free = harness.send_request(0, key=8), harness.send_request(2, key=7)
+    assert [len(harness.attempts[n]) for n in [*line, other, free]] == [1, 0, 0, 1, 1]
+    harness.report_outcome(line[0], 0, Result.OK)
+    assert [len(harness.attempts[n]) for n in line] == [1, 1, 0]
+    harness.withdraw_request(line[2])  # from the middle of the line
+    last = harness.send_request(0, key=7)
+    harness.report_outcome(line[1], 0, Result.OK)
+    assert len(harness.attempts[last]) == 1
 
 
 def test_requests_without_a_key_do_not_wait() -> None:
-    stage = ordered()
-    assert all(stage.attempts[stage.request(0, key=0)] for _ in range(4))
+    harness = ordered()
+    assert all(harness.attempts[harness.send_request(0, key=0)] for _ in range(4))
 
 
 def test_next_of_a_key_waits_for_open_attempts_of_a_finished_request() -> None:
-    stage = ordered(may_cancel=False)
-    first, second = stage.request(0, key=7), stage.request(0, key=7)
-    stage.withdraw(first)
-    assert not stage.attempts[second]
-    stage.outcome(first, 0, Result.ERROR)
-    assert len(stage.attempts[second]) == 1
+    harness = ordered(may_cancel=False)
+    first, second = harness.send_request(0, key=7), harness.send_request(0, key=7)
+    harness.withdraw_request(first)
+    assert not harness.attempts[second]
+    harness.report_outcome(first, 0, Result.ERROR)
+    assert len(harness.attempts[second]) == 1
 
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT, Result.CANCELLED])
 def test_key_rests_after_an_attempt_that_may_run_on(result: Result) -> None:
-    stage = ordered(key_rest=120.0)
-    first, second = stage.request(0, key=7), stage.request(0, key=7)
-    stage.outcome(first, 0, result)
-    stage.advance(119.0)
-    assert not stage.attempts[second]
-    stage.advance(2.0)  # by timer: no other event comes
-    assert len(stage.attempts[second]) == 1
+    harness = ordered(key_rest=120.0)
+    first, second = harness.send_request(0, key=7), harness.send_request(0, key=7)
+    harness.report_outcome(first, 0, result)
+    harness.advance_time(119.0)
+    assert not harness.attempts[second]
+    harness.advance_time(2.0)  # by timer: no other event comes
+    assert len(harness.attempts[second]) == 1
 
 
 def test_own_further_attempts_do_not_wait_for_the_rest() -> None:
-    stage = ordered(key_rest=120.0)
-    number = stage.request(1, key=7)
-    stage.outcome(number, 0, Result.RESET)
-    assert len(stage.attempts[number]) == 2
+    harness = ordered(key_rest=120.0)
+    number = harness.send_request(1, key=7)
+    harness.report_outcome(number, 0, Result.RESET)
+    assert len(harness.attempts[number]) == 2
 
 
 def test_held_requests_are_answered_by_timer_alone() -> None:
-    stage = ordered(may_cancel=False)
-    first = stage.request(0, key=7)
-    held = stage.request(0, key=7)
-    stage.withdraw(first)
-    del stage.open[(first, 0)]  # its outcome never comes
-    stage.advance(1000.0)
-    assert stage.answers[held] == "refused"
+    harness = ordered(may_cancel=False)
+    first = harness.send_request(0, key=7)
+    held = harness.send_request(0, key=7)
+    harness.withdraw_request(first)
+    del harness.open_attempts[(first, 0)]  # its outcome never comes
+    harness.advance_time(1000.0)
+    assert harness.final_responses[held] == "refused"
 
 
 def test_line_that_outgrows_its_time_is_refused_early() -> None:
-    stage = ordered()
+    harness = ordered()
     for _ in range(200):  # answers take 100 ms
-        stage.now += 200
-        stage.outcome(stage.request(2), 0, Result.OK, 100.0)
-        stage.outcome(stage.request(0, key=9), 0, Result.OK, 100.0)
-    numbers = [stage.request(0, key=7) for _ in range(30)]
-    refused = [n for n in numbers if stage.answers.get(n) == "refused"]
+        harness.now += 200
+        harness.report_outcome(harness.send_request(2), 0, Result.OK, 100.0)
+        harness.report_outcome(harness.send_request(0, key=9), 0, Result.OK, 100.0)
+    numbers = [harness.send_request(0, key=7) for _ in range(30)]
+    refused = [n for n in numbers if harness.final_responses.get(n) == "refused"]
     assert 20 < len(refused) < 29
     assert refused == numbers[-len(refused) :]
 
 
 def test_order_is_forgotten_with_the_node_and_its_keys_are_not_kept_for_ever() -> None:
-    stage = ordered()
+    harness = ordered()
     for key in range(1, 300):
-        stage.outcome(stage.request(0, key=key), 0, Result.OK)
-        stage.now += 100
-    assert len(stage.policy.key_queues) < 150
+        harness.report_outcome(harness.send_request(0, key=key), 0, Result.OK)
+        harness.now += 100
+    assert len(harness.policy.key_queues) < 150
 
 
 def test_server_that_restarts_under_its_own_id_is_cold_again() -> None:
-    stage = Stage(settings(classes=(SAFE,), group_size=5), servers=6)
+    harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=5), servers=6)
     counts = []
     for step in range(900):
-        stage.now += 10
+        harness.now += 10
         if step == 600:
-            stage.list([server(0, started=stage.now)])
-        stage.outcome(stage.request(), 0, Result.OK)
+            harness.send_list([make_server_entry(0, started=harness.now)])
+        harness.report_outcome(harness.send_request(), 0, Result.OK)
         if step in (299, 599, 899):
-            counts.append(sum(entry.id == 0 for sends in stage.attempts.values() for _, entry in sends))
+            counts.append(sum(entry.id == 0 for sends in harness.attempts.values() for _, entry in sends))
     assert counts[2] - counts[1] < 0.6 * (counts[1] - counts[0])
 
 
@@ -249,12 +255,12 @@
     # It knows no traffic yet: all nodes of its kind together must stay under what cold servers can do.
     nodes, sent = 60, [0] * 8
     for me in range(nodes):
-        stage = Stage(settings(classes=(SAFE,), group_size=nodes, me=me), seed=me, servers=0)
-        stage.list([server(i, started=stage.now) for i in range(8)], ListKind.FULL)
+        harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=nodes, me=me), seed=me, servers=0)
+        harness.send_list([make_server_entry(i, started=harness.now) for i in range(8)], ListKind.FULL)
         for _ in range(10):
-            stage.now += 100
-            stage.request()
-        for sends in stage.attempts.values():
+            harness.now += 100
+            harness.send_request()
+        for sends in harness.attempts.values():
             for _, entry in sends:
                 sent[entry.id] += 1
     # One at a time with answers of 100 ms is 10 a second when warm; a fifth of it, times the multiple.
@@ -263,19 +269,19 @@
 
 
 def test_reborn_node_knows_nothing_of_the_requests_before() -> None:
-    stage = ordered()
-    stage.request(0, key=7)
+    harness = ordered()
+    harness.send_request(0, key=7)
     again = ordered()
-    number = again.request(0, key=7)
+    number = again.send_request(0, key=7)
     assert len(again.attempts[number]) == 1
     assert again.policy.handle(again.now, Withdrawn(99)) == []
 
 
 def test_broken_subscription_is_renewed_in_time() -> None:
-    stage = Stage(settings(ask_for_list=True, ask_within=5000.0), servers=3)
-    stage.advance(300.0)
-    stage.list([server(i) for i in range(3)], ListKind.FULL)
-    asked = sum(isinstance(action, Subscribe) for action in stage.log)
-    stage.give(ServerList(ListKind.FAILED, 0, []))
-    stage.advance(1300.0)
-    assert sum(isinstance(action, Subscribe) for action in stage.log) > asked
+    harness = PolicyHarness(make_settings(ask_for_list=True, ask_within=5000.0), servers=3)
+    harness.advance_time(300.0)
+    harness.send_list([make_server_entry(i) for i in range(3)], ListKind.FULL)
+    asked = sum(isinstance(action, Subscribe) for action in harness.actions)
+    harness.dispatch_event(ServerList(ListKind.FAILED, 0, []))
+    harness.advance_time(1300.0)
+    assert sum(isinstance(action, Subscribe) for action in harness.actions) > asked
