--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -82,9 +82,8 @@
 
 
 def test_a_server_that_is_called_back_is_tried_also_where_chance_would_pass_it_over() -> None:
-    harness = PolicyHarness(
-        make_settings(), servers=8
-    )  # another zone than ours, with idle servers in our own
+    # The cordoned server is in another zone, and the node's own zone has idle servers.
+    harness = PolicyHarness(make_settings(), servers=8)
     harness.dispatch_event(Cordon(7))
     targets(harness, 50)
     harness.dispatch_event(Uncordon(7, harness.now))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the module decides; each failure that was found has a test here."""
+"""The decisions of the policy, with a regression test for each failure that was found."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def overload(harness: PolicyHarness, x: float) -> None:
-    """Put the module under a given overload by its errors, and keep the next upkeep away."""
+    """Put the policy under a given overload by its error share, and postpone the next upkeep."""
     harness.policy.in_flight_average = harness.policy.in_flight_now = 0
     harness.policy.counted_attempts = 1000.0
     harness.policy.failed_attempts = (
@@ -57,10 +57,10 @@
     assert set(harness.final_responses.values()) == {"served"}
 
 
-def test_cut_is_cubic_and_gives_up_that_share_of_worth() -> None:
+def test_cut_is_cubic_and_refuses_that_share_of_the_worth() -> None:
     for x in (0.5, 0.8, 1.0):
         harness = PolicyHarness(make_settings(), servers=50)
-        for step in range(600):  # let the bands see the mix
+        for step in range(600):  # fill the score bands
             harness.send_request(step % 3)
         overload(harness, x)
         lost = sum(
@@ -71,7 +71,7 @@
         assert abs(lost / (500 * (10 + 1 + 1)) - x**3) < 0.07
 
 
-def test_lowest_worth_is_refused_first_and_told_to_stay_away_longest() -> None:
+def test_lowest_worth_is_refused_first_with_the_longest_retry_after() -> None:
     harness = PolicyHarness(make_settings(), servers=50)
     for step in range(600):
         harness.send_request(step % 3)
@@ -91,9 +91,10 @@
     assert min(low) > max(high)
 
 
-def test_a_small_swing_of_overload_does_not_refuse_all_high_worth() -> None:
-    # Refused low worth comes back as retries. Bands by count left high worth a sliver at the top: none of it
-    # was refused at 0.96 and all of it at 1 (quotes rough-2, simulated: 0.45; bands by worth 0.58).
+def test_a_small_change_of_overload_does_not_refuse_all_high_worth() -> None:
+    # Refused requests of low worth return as retries. With score bands by count, high worth had only a very
+    # narrow band at the top: none of it was refused at 0.96 and all of it at 1 (quotes rough-2, simulated:
+    # 0.45; bands by worth 0.58).
     shares = []
     for x in (0.96, 0.999):
         harness = PolicyHarness(make_settings(), servers=50)
@@ -107,7 +108,7 @@
 
 
 def feed(harness: PolicyHarness, per_second: float, seconds: float, elapsed: float = 100.0) -> int:
-    """Traffic whose answers take the same time whatever the load; how many are refused."""
+    """Send traffic whose responses take the same time at any load; return how many requests were refused."""
     due: list[tuple[float, int]] = []
     refused, end = 0, harness.now + 1000 * seconds
     while harness.now < end:
@@ -124,15 +125,16 @@
 
 
 @pytest.mark.parametrize("elapsed", [300.0, 450.0, 900.0])
-def test_a_node_that_refuses_all_tries_again_soon_after_nothing_is_out(elapsed: float) -> None:
-    # What was in flight, averaged over 4 s and more, stayed past what refuses all while the need faded as
-    # quickly: of 200 nodes 27 to 46 served nobody for 4 to 7 s with nothing out (fleet day of restarts).
+def test_a_node_that_refuses_all_requests_sends_again_soon_after_none_is_in_flight(elapsed: float) -> None:
+    # The average number in flight, over 4 s and more, stayed above the level at which all is refused, while
+    # the needed number fell as fast: of 200 nodes, 27 to 46 served nobody for 4 to 7 s with nothing in flight
+    # (fleet day of restarts).
     cls = replace(SAFE, aim=250.0, late_value=0.5)
     harness = PolicyHarness(make_settings(classes=(cls,), group_size=200), servers=112)
     feed(harness, 8, 8, 90.0)
     out: list[tuple[float, int]] = []
     since, longest = harness.now, 0.0
-    for _ in range(600):  # 15 s of what is too much, answered slowly
+    for _ in range(600):  # 15 s of too much traffic with slow responses
         harness.now += 25
         while out and out[0][0] <= harness.now:
             harness.report_outcome(out.pop(0)[1], 0, Result.OK, elapsed)
@@ -145,17 +147,18 @@
     assert longest < 1000
 
 
-def test_growing_traffic_with_quick_answers_is_not_refused() -> None:
-    # What has come is in flight before it is answered: a need learned from answers alone refused quiet
-    # traffic as it doubled (icaa5d5, simulated: 0.80 to 1.00; izmir-main 0.77 to 0.83).
+def test_growing_traffic_with_fast_responses_is_not_refused() -> None:
+    # Requests are in flight before their responses arrive: a needed number learned from responses alone
+    # refused light traffic when it doubled (icaa5d5, simulated: 0.80 to 1.00; izmir-main 0.77 to 0.83).
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=4)
     feed(harness, 40, 10)
     for rate in (80, 160, 320):
         assert feed(harness, rate, 3) == 0
 
 
-def test_strong_servers_draw_more_keys_and_requests() -> None:
-    # Places on the ring are even; fast servers stood idle while slow ones tipped (quiz big-2, simulated).
+def test_larger_servers_get_more_keys_and_requests() -> None:
+    # With the same number of places on the ring for each, fast servers were idle while slow ones were
+    # overloaded (quiz big-2, simulated).
     for keys in (True, False):
         config = make_settings(classes=(SAFE,), warm_keys=keys)
         harness = PolicyHarness(config, servers=0)
@@ -169,7 +172,7 @@
         assert 0.45 < share < 0.7  # 40 of 70 units of size
 
 
-def test_a_list_without_sizes_is_served_like_any_other() -> None:
+def test_a_list_without_sizes_is_used_like_any_other() -> None:
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=0)
     harness.send_list([replace(make_server_entry(i), size=0.0) for i in range(8)], ListKind.FULL)
     for _ in range(50):
@@ -178,9 +181,9 @@
     assert len(set(sent_to(harness))) > 4
 
 
-def test_a_server_known_to_be_slow_is_not_idle_for_being_unused() -> None:
-    # In a large fleet a node has sent next to nothing to most servers; at a load of nought, a tipped server
-    # passed for idle whatever its answers had shown.
+def test_a_slow_server_does_not_count_as_idle_because_it_is_unused() -> None:
+    # In a large fleet a node has sent almost nothing to most servers. With a load of 0, an overloaded server
+    # counted as idle however slow its responses had been.
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=40)
     for _ in range(2000):
         harness.now += 20
@@ -190,7 +193,7 @@
     assert share < 0.06  # a tenth of the servers
 
 
-def test_log_lines_come_when_shedding_begins_and_ends_only() -> None:
+def test_log_lines_are_written_only_when_shedding_starts_and_ends() -> None:
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=20)
     lines: list[str] = []
     for step in range(2000):
@@ -202,7 +205,7 @@
     assert lines[0].startswith("shedding on") and lines[-1].startswith("shedding off")
 
 
-def test_traffic_beyond_a_quota_goes_first() -> None:
+def test_traffic_beyond_a_quota_is_refused_first() -> None:
     config = make_settings(quotas=(1000.0, 10.0), over_quota_worth=0.05, classes=(SAFE,))
     harness = PolicyHarness(config, servers=50)
     for step in range(600):
@@ -219,7 +222,7 @@
     assert refused[1] > 100
 
 
-def test_pick_prefers_servers_that_hold_few_of_ours() -> None:
+def test_servers_with_few_open_attempts_are_preferred() -> None:
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=2)
     harness.send_request()
     first = sent_to(harness)[0]
@@ -231,14 +234,14 @@
 
 
 def test_nodes_agree_on_the_servers_of_a_key() -> None:
-    homes = []
+    servers_of_keys = []
     for seed in (1, 2):
         harness = PolicyHarness(make_settings(warm_keys=True, classes=(UNSAFE,)), seed=seed, servers=40)
         for key in range(1, 400):
             harness.now += 100
             harness.report_outcome(harness.send_request(key=key * 7919), 0, Result.OK)
-        homes.append(sent_to(harness))
-    same = sum(a == b for a, b in zip(*homes, strict=True))
+        servers_of_keys.append(sent_to(harness))
+    same = sum(a == b for a, b in zip(*servers_of_keys, strict=True))
     assert same > 200  # by chance it would be about ten
 
 
@@ -247,19 +250,21 @@
     for step in range(600):
         harness.now += 10
         harness.report_outcome(harness.send_request(key=5 if step % 3 else step + 10), 0, Result.OK)
-    homes = [a.server for a in harness.actions if isinstance(a, Send) and harness.requests[a.id].key == 5]
-    assert len(set(homes)) > 10
+    servers_of_keys = [
+        a.server for a in harness.actions if isinstance(a, Send) and harness.requests[a.id].key == 5
+    ]
+    assert len(set(servers_of_keys)) > 10
 
 
-def test_failing_server_rests_and_comes_back() -> None:
+def test_failing_server_is_ejected_and_returns() -> None:
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=4)
     bad = 0
     for _ in range(400):
         harness.now += 5
         number = harness.send_request()
-        sick = sent_to(harness)[-1] == 0
-        bad += sick
-        harness.report_outcome(number, 0, Result.ERROR if sick else Result.OK)
+        failing = sent_to(harness)[-1] == 0
+        bad += failing
+        harness.report_outcome(number, 0, Result.ERROR if failing else Result.OK)
     assert bad < 40
     for _ in range(2000):
         harness.now += 10
@@ -267,8 +272,8 @@
     assert sent_to(harness)[-200:].count(0) > 20
 
 
-def test_server_that_says_nothing_but_full_rests() -> None:
-    # It drains, or is stuck full, before the list tells: its quick answers must not draw traffic.
+def test_server_that_responds_only_full_is_ejected() -> None:
+    # It drains before the list says so, or stays full: its fast responses must not attract traffic.
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=4)
     for _ in range(400):
         harness.now += 5
@@ -289,7 +294,7 @@
         number = harness.send_request()
         if harness.open_attempts:
             harness.report_outcome(number, 0, Result.ERROR if sent_to(harness)[-1] < 3 else Result.OK)
-        if step > 100:  # they are known by then
+        if step > 100:  # they have been ejected by then
             worst = max(worst, harness.policy.error_share)
     assert harness.policy.cut == 0.0
     assert worst < 0.1
@@ -308,14 +313,14 @@
     assert harness.policy.cut == 0.0
 
 
-def test_a_stalled_server_gets_nothing_more() -> None:
+def test_a_stalled_server_gets_no_further_requests() -> None:
     harness = PolicyHarness(
         make_settings(classes=(replace(UNSAFE, aim=5000.0, deadline=6000.0),)), servers=10
     )
-    for _ in range(300):  # learn that answers take about 50 ms
+    for _ in range(300):  # learn that responses take about 50 ms
         harness.now += 20
         harness.report_outcome(harness.send_request(due_in=5500.0), 0, Result.OK)
-    for _ in range(6):  # six requests at once; those on the first server met never come back
+    for _ in range(6):  # six requests at once; those on one server get no response
         harness.send_request(due_in=5500.0)
     stuck = sent_to(harness)[-1]
     for request, attempt in list(harness.open_attempts):
@@ -331,7 +336,7 @@
 
 
 def lose_some(harness: PolicyHarness, steps: int) -> int:
-    """Every 20th request is never answered, the others in 5 ms; how many were refused."""
+    """Lose the response to every 20th request, give the others in 5 ms; return how many were refused."""
     refused = 0
     for step in range(steps):
         harness.advance_time(5.0)
@@ -343,17 +348,17 @@
     return refused
 
 
-def test_a_lost_answer_does_not_mark_its_server_as_stalled() -> None:
+def test_a_lost_response_does_not_mark_its_server_as_stalled() -> None:
     harness = PolicyHarness(
         make_settings(classes=(replace(UNSAFE, deadline=1200.0, late_value=0.2),)), servers=4
     )
     lose_some(harness, 100)
-    # At any time more answers are missing than there are servers, and each server goes on answering.
+    # At any time more responses are missing than there are servers, and each server continues to respond.
     assert lose_some(harness, 1000) == 0
     assert len(set(sent_to(harness)[-200:])) == 4
 
 
-def test_lost_answers_are_no_requests_in_flight() -> None:
+def test_lost_responses_do_not_count_as_requests_in_flight() -> None:
     harness = PolicyHarness(
         make_settings(classes=(replace(UNSAFE, deadline=1200.0, late_value=0.2),)), servers=4
     )
@@ -362,7 +367,7 @@
     assert harness.policy.in_flight_average < 2.0
 
 
-def test_lost_answers_and_early_resets_are_no_overload() -> None:
+def test_lost_responses_and_early_resets_are_no_overload() -> None:
     harness = PolicyHarness(
         make_settings(classes=(replace(UNSAFE, deadline=1200.0, late_value=0.2),)), servers=4
     )
@@ -370,7 +375,7 @@
         harness.advance_time(5.0)
         number = harness.send_request(due_in=1200.0)
         if (number, 0) not in harness.open_attempts or step % 10 == 0:
-            continue  # one in ten is never answered
+            continue  # one in ten gets no response
         early = step % 10 == 1  # and one in ten is reset at once
         harness.advance_time(0.5 if early else 10.0)
         harness.report_outcome(number, 0, Result.RESET if early else Result.OK, 0.5 if early else 10.0)
@@ -379,11 +384,11 @@
     assert "refused" not in harness.final_responses.values()
 
 
-def test_clients_that_hardly_wait_are_no_overload() -> None:
+def test_clients_with_very_short_timeouts_are_no_overload() -> None:
     harness = PolicyHarness(make_settings(classes=(replace(UNSAFE, late_value=0.2),)), servers=9)
     for step in range(2000):
         harness.advance_time(5.0)
-        short = step > 400 and step % 3 == 0  # every third client waits no longer than an answer takes
+        short = step > 400 and step % 3 == 0  # every third client waits no longer than a response takes
         number = harness.send_request(due_in=22.0 if short else 900.0)
         if (number, 0) in harness.open_attempts and not short:
             harness.now += 15.0
@@ -401,7 +406,7 @@
             harness.now += 5
             number, attempt = harness.send_request(), 0
             while (number, attempt) in harness.open_attempts:
-                # Five of eight turn half of theirs away; where there is a queue, all do.
+                # Five of eight servers reject half of their requests; with a queue, all do.
                 busy = (sent_to(harness)[-1] < 5 or not calm) and step > 1500
                 if busy and step % 2 and not attempt:
                     harness.report_outcome(number, attempt, Result.FULL, 10.0)
@@ -412,7 +417,7 @@
         assert (worst < 0.1) == calm, worst
 
 
-def test_a_lost_request_that_may_be_repeated_is_sent_elsewhere_in_its_cell() -> None:
+def test_a_lost_request_that_may_be_repeated_is_sent_to_another_server_of_its_cell() -> None:
     for cls, other in ((replace(KEYED, group=Group.CELL), True), (UNSAFE, False)):
         harness = PolicyHarness(make_settings(classes=(cls,)), servers=12)
         for step in range(400):
@@ -423,27 +428,27 @@
                 harness.report_outcome(number, 0, Result.OK, 4.0)
             elif step == 300:
                 lost = number
-            called = [
+            cancelled = [
                 a
                 for a in harness.actions
                 if isinstance(a, Cancel) and (a.id, a.attempt) in harness.open_attempts
             ]
-            for action in called:
+            for action in cancelled:
                 harness.report_outcome(action.id, action.attempt, Result.CANCELLED)
-            if (lost_again := (301, 1)) in harness.open_attempts:
-                harness.report_outcome(*lost_again, Result.OK, 4.0)
-        # The stage holds the repeat to the cell and the window.
+            if (lost_repeat := (301, 1)) in harness.open_attempts:
+                harness.report_outcome(*lost_repeat, Result.OK, 4.0)
+        # The harness asserts that the repeat keeps to the cell and the window.
         assert len(harness.attempts[lost]) == (2 if other else 1)
         assert (harness.final_responses.get(lost) == "served") == other
 
 
-def test_the_search_for_an_idle_server_goes_past_a_busy_zone() -> None:
+def test_the_search_for_an_idle_server_continues_past_a_busy_zone() -> None:
     near = [ServerEntry(number, 0, 0, 0, State.READY, 1.0, 0.0) for number in range(3)]
     far = [ServerEntry(number, 1, 0, 0, State.READY, 1.0, 0.0) for number in range(3, 9)]
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=0)
     harness.send_list(near, ListKind.FULL)
     for _ in range(9):
-        harness.send_request()  # the servers of our zone hold three each
+        harness.send_request()  # each server of the node's zone has three
     harness.send_list(near + far, ListKind.FULL)
     for _ in range(30):
         harness.now += 5
@@ -462,7 +467,7 @@
         assert len(harness.attempts[number]) == most
 
 
-def test_no_attempt_that_can_not_meet_its_aim() -> None:
+def test_no_attempt_is_sent_that_cannot_meet_its_aim() -> None:
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=30)
     for _ in range(300):
         harness.now += 20
@@ -472,7 +477,7 @@
     assert harness.final_responses[late] == "refused"
 
 
-def test_flood_of_errors_cuts_and_ends_with_it() -> None:
+def test_a_flood_of_errors_raises_the_cut_until_it_ends() -> None:
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=10)
     for _ in range(300):
         harness.now += 5
@@ -495,16 +500,16 @@
         harness.now += 4
         if step == 1000:
             harness.send_list([make_server_entry(10, started=harness.now)])
-            mark = len(harness.actions)
+            action_count = len(harness.actions)
         harness.report_outcome(harness.send_request(), 0, Result.OK)
         if step in (1500, 2999):
-            sends = [a.server for a in harness.actions[mark:] if isinstance(a, Send)]
+            sends = [a.server for a in harness.actions[action_count:] if isinstance(a, Send)]
             counts.append(sends.count(10) / (len(sends) / 11))
     assert 0 < counts[0] < 0.5
     assert counts[1] < 1.0
 
 
-def test_list_is_asked_for_with_backoff_and_only_where_it_must_be() -> None:
+def test_list_is_requested_with_backoff_and_only_if_it_is_not_pushed() -> None:
     harness = PolicyHarness(make_settings(ask_for_list=True), servers=3)
     delays = []
     for _ in range(8):
@@ -528,7 +533,7 @@
     assert harness.final_responses[number] == "refused"
 
 
-def test_restarted_server_starts_afresh() -> None:
+def test_health_of_a_restarted_server_is_reset() -> None:
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=4)
     for _ in range(400):
         harness.now += 5
@@ -567,8 +572,9 @@
         policy.handle(START, Outcome(1, 77, False, 1, 0, 5.0))
 
 
-def test_each_of_many_nodes_keeps_to_a_few_servers_of_its_own() -> None:
-    # 200 nodes with a connection to each of 50 servers fill the servers' tables: attempts then get none.
+def test_each_of_many_nodes_uses_a_small_subset_of_the_servers() -> None:
+    # 200 nodes with a connection to each of 50 servers exhaust the servers' connections, and attempts get
+    # none.
     used: list[set[int]] = []
     for me in (0, 199):
         harness = PolicyHarness(make_settings(classes=(UNSAFE,), group_size=200, me=me), servers=50)
@@ -580,9 +586,9 @@
     assert not used[0] & used[1]
 
 
-def test_nodes_of_a_group_place_keys_alike_and_other_groups_elsewhere() -> None:
-    # Nodes whose stretches overlap but place keys each their own way make a server meet several times the
-    # keys it can remember (quotes, simulated: 0.60 to 0.51).
+def test_nodes_with_the_same_subset_place_keys_alike_and_others_do_not() -> None:
+    # If nodes with overlapping subsets place keys differently, a server gets several times the keys that it
+    # can cache (quotes, simulated: 0.60 to 0.51).
     places = []
     for me in (0, 1, 23):
         harness = PolicyHarness(
@@ -593,17 +599,18 @@
     assert not set(places[0]) & set(places[2])
 
 
-def test_in_its_stretch_a_node_goes_on_looking_for_an_idle_server() -> None:
-    # Two draws find a server that holds none of ours too seldom; with what others send, small servers tip
-    # (if40ccc, simulated: 0.50 with two draws, 0.74 with the whole draw).
+def test_in_its_subset_a_node_examines_all_candidates_for_an_idle_server() -> None:
+    # Two candidates rarely include a server without open attempts of this node; with the load from other
+    # nodes, small servers were overloaded (if40ccc, simulated: 0.50 with two candidates, 0.74 with all of
+    # them).
     harness = PolicyHarness(make_settings(classes=(UNSAFE,), group_size=200), servers=50)
     for _ in range(6):
         harness.send_request()
     assert len(set(sent_to(harness))) == 6
 
 
-def test_small_node_does_not_refuse_on_chance() -> None:
-    # With five requests in flight a clump of arrivals is chance, not overload.
+def test_small_node_does_not_refuse_because_of_chance_bursts() -> None:
+    # With five requests in flight a burst of arrivals is chance, not overload.
     harness = PolicyHarness(make_settings(classes=(UNSAFE,), group_size=10), servers=50)
     for step in range(400):
         harness.now += 20
@@ -615,8 +622,8 @@
     assert list(harness.final_responses.values()).count("refused") < 8
 
 
-def test_fleet_whose_requests_wait_on_others_is_not_held_to_its_size() -> None:
-    # Requests that hold no core let a server carry many more than its listed size at once.
+def test_fleet_whose_requests_wait_on_others_is_not_limited_by_its_listed_size() -> None:
+    # Requests that use no core let a server process many more at once than its listed size.
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=4)
     held: list[int] = []
     refused_late = 0
@@ -646,38 +653,38 @@
     assert min(refused) > 0.6 * max(refused)
 
 
-def test_cold_servers_share_is_measured_against_warm_peers() -> None:
-    # When a fleet quadruples, the mean over all servers is far under what a warm one carries.
+def test_share_of_cold_servers_is_measured_against_warm_ones() -> None:
+    # When a fleet quadruples, the mean over all servers is far below the load of a warm one.
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=5)
-    mark = 0
+    action_count = 0
     for step in range(4000):
         harness.now += 4
         if step == 2000:
             harness.send_list([make_server_entry(i, started=harness.now) for i in range(5, 20)])
-            mark = len(sent_to(harness))
+            action_count = len(sent_to(harness))
         number = harness.send_request()
         if (number, 0) in harness.open_attempts:
             harness.report_outcome(number, 0, Result.OK)
-    cold = sum(target >= 5 for target in sent_to(harness)[mark:])
+    cold = sum(target >= 5 for target in sent_to(harness)[action_count:])
     assert 0.35 < cold / 2000 < 0.75
 
 
-def test_a_request_is_not_refused_because_no_drawn_server_can_take_it() -> None:
-    # All six draws fell on the one resting server of four, and a request was refused for it.
+def test_a_request_is_not_refused_because_no_candidate_can_take_it() -> None:
+    # All six candidates were the one ejected server of four, and a request was refused because of it.
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=12)
-    for sick in range(11):
-        harness.policy.endpoints[sick].health[0].ejected_until = harness.now + 60_000.0
+    for failing in range(11):
+        harness.policy.endpoints[failing].health[0].ejected_until = harness.now + 60_000.0
     for _ in range(50):
         harness.report_outcome(harness.send_request(), 0, Result.OK)
     assert set(sent_to(harness)) == {11}
 
 
 def test_all_servers_failing_is_overload_though_each_is_known_to_fail() -> None:
-    # Failures of servers known to fail counted for nothing: when all failed, 600 nodes went on sending to a
-    # fleet that answered one in ten (ib2adee, i512e14, i1ea6af, simulated: 0.16, 0.24, 0.05).
+    # Failures of ejected servers were not counted: when all failed, 600 nodes continued to send to a fleet
+    # that served one request in ten (ib2adee, i512e14, i1ea6af, simulated: 0.16, 0.24, 0.05).
     harness = PolicyHarness(make_settings(classes=(SAFE,), max_attempts=1), servers=8)
     cuts = []
-    for _ in range(40):  # four requests a second, as a small node sees them
+    for _ in range(40):  # four requests per second, as at a small node
         harness.now += 250
         number = harness.send_request()
         if (number, 0) in harness.open_attempts:
@@ -686,31 +693,31 @@
     assert max(cuts[:16]) > 90
 
 
-def test_a_small_node_is_held_to_its_own_need() -> None:
-    # A floor of one request a node let 600 nodes hold nine for each core (ib2adee, simulated).
+def test_the_needed_number_in_flight_of_a_small_node_can_be_below_one() -> None:
+    # A minimum of one request per node let 600 nodes have nine in flight for each core (ib2adee, simulated).
     harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=600), servers=60)
     feed(harness, 5, 30, 60.0)
     assert harness.policy.needed_in_flight < 0.8
     assert feed(harness, 5, 30, 60.0) == 0
 
 
-def test_class_that_fails_on_a_server_goes_elsewhere_and_the_others_stay() -> None:
-    # Health was kept by server: one failing class took the server from all, or was kept up by the others
-    # (central big-2, simulated: 0.24 to 0.40).
+def test_only_the_class_that_fails_on_a_server_goes_to_others() -> None:
+    # Health was recorded per server: one failing class ejected the server for all classes, or the others hid
+    # its failures (central big-2, simulated: 0.24 to 0.40).
     harness = PolicyHarness(make_settings(classes=(UNSAFE, replace(UNSAFE, worth=2.0))), servers=6)
     for step in range(1200):
         harness.now += 10
         number = harness.send_request(step % 2)
         if (number, 0) in harness.open_attempts:
-            sick = sent_to(harness)[-1] < 2 and step % 2
-            harness.report_outcome(number, 0, Result.ERROR if sick else Result.OK)
+            failing = sent_to(harness)[-1] < 2 and step % 2
+            harness.report_outcome(number, 0, Result.ERROR if failing else Result.OK)
     late = [(a.server, harness.requests[a.id].cls) for a in harness.actions if isinstance(a, Send)][-600:]
     assert sum(s < 2 and cls == 1 for s, cls in late) < 12
     assert sum(s < 2 and cls == 0 for s, cls in late) > 60
 
 
-def test_refused_connections_do_not_lift_the_cut() -> None:
-    # They load no server (seoul rough-1, simulated: 0.21 to 0.37).
+def test_refused_connections_do_not_raise_the_cut() -> None:
+    # They put no load on a server (seoul rough-1, simulated: 0.21 to 0.37).
     harness = PolicyHarness(make_settings(classes=(SAFE,), max_attempts=1), servers=10)
     for step in range(300):
         harness.now += 20
@@ -718,16 +725,16 @@
     assert harness.policy.cut == 0.0
 
 
-def test_cold_budget_counts_what_peers_answer_not_what_is_thrown_at_them() -> None:
-    # Peers that take no connections drew several attempts a request; a cold server was sent 3.4 times what
-    # it could do (hd1cfdf, simulated, rule broken).
+def test_cold_budget_counts_responses_of_warm_servers_and_not_attempts_sent() -> None:
+    # Warm servers that accepted no connections caused several attempts per request; a cold server was sent
+    # 3.4 times its capacity (hd1cfdf, simulated, rule broken).
     harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=5), servers=10)
-    mark = 0
+    action_count = 0
     for step in range(3000):
         harness.now += 20
         if step == 2000:
             harness.send_list([make_server_entry(10, started=harness.now)])
-            mark = len(sent_to(harness))
+            action_count = len(sent_to(harness))
         number = harness.send_request()
         while harness.open_attempts:
             attempt = next(iter(harness.open_attempts))
@@ -736,13 +743,13 @@
             harness.report_outcome(*attempt, result)
         if step == 2300:
             break
-    per_second = sent_to(harness)[mark:].count(10) / 6.0
-    assert 0 < per_second < 50 / 10  # what a warm peer answered when all was well
+    per_second = sent_to(harness)[action_count:].count(10) / 6.0
+    assert 0 < per_second < 50 / 10  # the rate of a warm server before the fault
 
 
-def test_instant_errors_do_not_lift_the_cut() -> None:
-    # One class that fails at once on half of the servers cut all classes (central big-2, simulated: 0.27 to
-    # 0.37). An error that takes as long as the work still counts: see the flood of errors.
+def test_immediate_errors_do_not_raise_the_cut() -> None:
+    # One class that failed at once on half of the servers caused refusals in all classes (central big-2,
+    # simulated: 0.27 to 0.37). An error that takes as long as the work still counts: see the flood of errors.
     harness = PolicyHarness(make_settings(classes=(SAFE,), max_attempts=1), servers=10)
     for step in range(300):
         harness.now += 20
@@ -755,8 +762,8 @@
 
 
 def test_a_request_whose_own_work_exceeds_its_time_is_refused_at_once() -> None:
-    # Clients that come with little time left had heavy requests worked on in vain (seoul big-2, simulated:
-    # 0.64 to 0.74).
+    # Heavy requests of clients with little time left were processed in vain (seoul big-2, simulated: 0.64 to
+    # 0.74).
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=10)
     for _ in range(200):
         harness.now += 20
@@ -766,11 +773,11 @@
     assert harness.final_responses[heavy] == "refused"
 
 
-def test_one_full_that_proves_nothing_is_enough_to_avoid_the_server() -> None:
-    # Servers turned away one class for half a minute, and each 'full' cost an unsafe request (busan rough-1,
-    # simulated: 0.21 to 0.30). Where 'full' is proof, another server is tried for little.
-    for no_proof, most in ((True, 3), (False, 12)):
-        config = make_settings(classes=(UNSAFE,), full_may_have_run=no_proof, max_attempts=1)
+def test_one_full_that_is_no_proof_is_enough_to_avoid_the_server() -> None:
+    # Servers rejected one class for half a minute, and each 'full' cost an unsafe request (busan rough-1,
+    # simulated: 0.21 to 0.30). Where 'full' is proof, trying another server costs little.
+    for full_may_have_run, most in ((True, 3), (False, 12)):
+        config = make_settings(classes=(UNSAFE,), full_may_have_run=full_may_have_run, max_attempts=1)
         harness = PolicyHarness(config, servers=10)
         for _ in range(100):
             harness.now += 20
@@ -779,24 +786,25 @@
         assert sent_to(harness).count(0) <= most
 
 
-def test_idle_servers_of_the_own_zone_come_first_but_not_alone() -> None:
-    # Crossing costs money and round trips (busan rough-1, simulated: 0.24 to 0.31).
+def test_idle_servers_of_the_own_zone_are_preferred_but_not_exclusive() -> None:
+    # Requests to other zones cost money and round trips (busan rough-1, simulated: 0.24 to 0.31).
     harness = PolicyHarness(make_settings(classes=(SAFE,), zone=1), servers=9)
     for _ in range(600):
         harness.now += 20
         harness.report_outcome(harness.send_request(), 0, Result.OK)
     near = sum(harness.listed_entries[i].zone == 1 for i in sent_to(harness)) / 600
     assert 0.5 < near < 0.95
-    for _ in range(40):  # they answer no more: the others take over at once
+    for _ in range(40):  # they respond no more: the others take over at once
         harness.now += 20
         harness.send_request()
     stuck = [harness.listed_entries[i].zone for i in sent_to(harness)[-30:]]
     assert stuck.count(1) < 16
 
 
-def test_late_answers_that_keep_worth_count_in_the_need() -> None:
-    # Newest-first servers answer a few very late; the need left them out though they are in flight, and quiet
-    # traffic was refused (central rough-2, simulated: 0.58 to 0.71).
+def test_late_responses_that_keep_worth_count_in_the_needed_number_in_flight() -> None:
+    # Servers that process the newest request first respond to a few very late. The needed number left these
+    # out although they are in flight, and light traffic was refused (central rough-2, simulated: 0.58 to
+    # 0.71).
     needs = []
     for late_value in (0.0, 0.5):
         harness = PolicyHarness(
@@ -813,8 +821,8 @@
     assert needs[1] > 1.5 * needs[0]
 
 
-def test_the_margin_of_the_need_fades_with_errors() -> None:
-    # At one share of errors the margin was gone at once, and overload jumped from 0.1 to 1.
+def test_the_allowed_growth_falls_gradually_with_errors() -> None:
+    # At a certain error share the allowed growth vanished at once, and overload jumped from 0.1 to 1.
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=8)
     feed(harness, 50, 10)
     needs = []
@@ -825,14 +833,14 @@
     assert needs[1] > 0.85 * needs[0]
 
 
-def test_a_young_node_knows_its_rate_at_once() -> None:
+def test_a_new_node_knows_its_rate_at_once() -> None:
     harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=20), servers=8)
     feed(harness, 50, 1)
     assert 0.6 < harness.policy.timely_rate * 1000 / 50 < 1.4
 
 
-def test_further_attempts_fade_where_no_connections_are_made() -> None:
-    # Each opens one connection more at servers that can't keep up with them (busan days of mass_restart with
+def test_further_attempts_become_rare_when_connections_fail() -> None:
+    # Each opens a further connection at servers that can't keep up with them (busan days of mass_restart with
     # handshake_slow, simulated: G 0.225 to 0.278 and 0.332 to 0.410).
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=30)
     for _ in range(60):
@@ -844,7 +852,7 @@
     assert len(harness.attempts[number]) == 1
 
 
-def test_servers_that_are_gone_are_forgotten_once_they_hold_nothing() -> None:
+def test_departed_servers_are_dropped_once_they_have_no_attempts() -> None:
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=1)
     number = harness.send_request()
     for name in range(1, 40):
@@ -857,7 +865,7 @@
 
 
 def busy_traffic(harness: PolicyHarness, ms: int) -> None:
-    """A request every 5 ms; each is answered 40 ms after it was sent."""
+    """Send a request every 5 ms; each gets its response 40 ms after it was sent."""
     for _ in range(ms // 5):
         harness.send_request()
         for number, attempt in list(harness.open_attempts):
@@ -866,30 +874,29 @@
         harness.advance_time(5.0)
 
 
-def test_what_is_stuck_in_flight_is_no_grown_traffic() -> None:
+def test_requests_stuck_in_flight_do_not_count_as_grown_traffic() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
     policy = harness.policy
     busy_traffic(harness, 4000)
     busy = policy.best_timely_rate
     most = 0.0
-    for _ in range(140):  # the same traffic as before, but no answer comes
+    for _ in range(140):  # the same traffic as before, but no response arrives
         harness.send_request()
         harness.advance_time(5.0)
         most = max(most, policy.in_flight_average)
-        assert policy.best_timely_rate < 1.5 * busy  # none of it is a better rate
-    assert most > 2 * busy * policy.fastest_mean_ms  # so much was stuck
+        assert policy.best_timely_rate < 1.5 * busy  # stuck requests do not raise the rate
+    assert most > 2 * busy * policy.fastest_mean_ms  # so many requests were stuck
     assert policy.overload == 1.0
 
 
-def test_servers_that_are_taken_out_take_their_part_of_the_need_with_them() -> None:
+def test_cordoned_servers_reduce_the_needed_number_in_flight() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
     busy_traffic(harness, 4000)
     before = harness.policy.needed_in_flight
     for out in range(4):
         harness.dispatch_event(Cordon(out))
-    busy_traffic(
-        harness, 500
-    )  # as much as before for the servers that are left: that is no proof that they can
+    # The remaining servers get all the traffic of before, which does not prove that they can handle it.
+    busy_traffic(harness, 500)
     assert harness.policy.needed_in_flight < 0.6 * before
     for out in range(4):
         harness.dispatch_event(Uncordon(out, harness.now - 20_000.0))  # warm at once
@@ -897,11 +904,11 @@
     assert harness.policy.needed_in_flight > 0.9 * before
 
 
-def test_a_best_rate_that_slow_answers_belie_is_soon_forgotten() -> None:
+def test_the_best_rate_decays_fast_while_responses_are_slow() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
     busy_traffic(harness, 4000)
     best = harness.policy.best_timely_rate
-    for _ in range(500):  # half the traffic, since another node came back, and yet the answers are slow
+    for _ in range(500):  # another node has returned: half the traffic, and still the responses are slow
         harness.send_request()
         for number, attempt in list(harness.open_attempts):
             if harness.now - harness.attempts[number][attempt][0] >= 140.0:
@@ -911,30 +918,29 @@
     assert harness.policy.best_timely_rate < 0.6 * best
 
 
-def test_servers_that_come_for_a_while_and_go_take_nothing_with_them() -> None:
+def test_temporary_servers_do_not_reduce_the_needed_number_in_flight() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
     busy_traffic(harness, 4000)
     before = harness.policy.needed_in_flight
-    harness.send_list(
-        [make_server_entry(i) for i in range(8, 16)]
-    )  # as in a release: the new ones come before the old ones go
+    # As in a release: the new servers are added before the old ones are removed.
+    harness.send_list([make_server_entry(i) for i in range(8, 16)])
     busy_traffic(harness, 1000)
     harness.send_list([make_server_entry(i, State.GONE) for i in range(8, 16)])
     busy_traffic(harness, 200)
     assert harness.policy.needed_in_flight > 0.8 * before
 
 
-def test_a_queue_well_within_the_wanted_time_is_no_overload() -> None:
-    """A small node takes over another's traffic: answers take longer than at best, not longer than wanted."""
+def test_a_queue_well_within_the_aim_is_no_overload() -> None:
+    """A small node takes over another's traffic: responses take longer than the fastest, but not the aim."""
     harness = PolicyHarness(make_settings(), servers=8)
     busy_traffic(harness, 3000)
-    assert feed(harness, 300, 4, 66.0) == 0  # 400 ms are wanted, and 40 were the quickest
+    assert feed(harness, 300, 4, 66.0) == 0  # the aim is 400 ms, and the fastest took 40
     assert feed(harness, 300, 4, 200.0) > 100
 
 
-def test_under_load_the_light_servers_get_what_comes() -> None:
+def test_under_load_requests_go_to_the_least_loaded_servers() -> None:
     harness = PolicyHarness(make_settings(), servers=6)
-    for _ in range(120):  # no answer comes: every server fills up
+    for _ in range(120):  # no response arrives: every server fills up
         harness.send_request(cls=2)
         harness.now += 1.0
     heavy = {
@@ -943,14 +949,14 @@
     assert max(heavy.values()) - min(heavy.values()) <= 3
 
 
-def test_a_node_that_starts_in_a_jam_does_not_take_it_for_normal() -> None:
-    """Its quickest answers were slow ones; what is wanted says that they are (overload in the simulator)."""
+def test_a_node_that_starts_during_overload_does_not_take_it_for_normal() -> None:
+    """Its fastest responses were slow; the aims show that they are (overload in the simulator)."""
     harness = PolicyHarness(make_settings(), servers=8)
     assert feed(harness, 400, 4, 320.0) > 800
 
 
-def test_only_where_nodes_are_few_is_a_queue_given_time() -> None:
-    """Two hundred that wait each for a queue to go fill servers up together (split+mass: 0.70 to 0.62)."""
+def test_new_queues_are_tolerated_only_with_few_nodes() -> None:
+    """200 nodes that each wait for a queue to end fill the servers up together (split+mass: 0.70 to 0.62)."""
     few, many = (PolicyHarness(make_settings(group_size=nodes), servers=8) for nodes in (3, 200))
     for harness in (few, many):
         busy_traffic(harness, 3000)
--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The hash ring: changes cost what changed and end where a ring made anew would be."""
+"""The hash ring and the fleet's figures: incremental changes give the same result as a rebuild."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 @given(st.lists(counts, max_size=6))
-def test_a_ring_that_was_changed_is_the_ring_made_anew(changes: list[dict[int, int]]) -> None:
-    ring, wanted = HashRing(), {100 + i: 17 for i in range(50)}
-    ring.assign(wanted)
+def test_a_changed_ring_equals_a_rebuilt_one(changes: list[dict[int, int]]) -> None:
+    ring, expected_counts = HashRing(), {100 + i: 17 for i in range(50)}
+    ring.assign(expected_counts)
     for change in changes:
         ring.update(change)
-        wanted |= change
-    fresh = HashRing()
-    fresh.assign(wanted)
-    assert len(ring) == len(fresh) == sum(wanted.values())
+        expected_counts |= change
+    rebuilt = HashRing()
+    rebuilt.assign(expected_counts)
+    assert len(ring) == len(rebuilt) == sum(expected_counts.values())
     assert [ring.find_endpoint(key, n) for key in range(60) for n in (0, 1)] == [
-        fresh.find_endpoint(key, n) for key in range(60) for n in (0, 1)
+        rebuilt.find_endpoint(key, n) for key in range(60) for n in (0, 1)
     ]
 
 
@@ -58,7 +58,7 @@
 
 
 @given(events)
-def test_a_fleet_measured_by_its_changes_is_the_fleet_measured_anew(history: list[object]) -> None:
+def test_fleet_figures_updated_by_changes_equal_recomputed_ones(history: list[object]) -> None:
     policy = Policy(SETTINGS, 1)
     for step, event in enumerate(history):
         policy.handle(1000.0 + 100 * step, event)  # type: ignore[arg-type]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""How long a list may be routed by, as the pages count what is told."""
+"""How long a list may be used, by the rules of the pages on when a node counts as notified of a change."""
 
 from __future__ import annotations
 
@@ -35,16 +35,17 @@
     )
 
 
-Step = tuple[float, Reach] | tuple[float, Reach, float]  # at, what, and when its call began if not just then
+# Time, reach, and the start of the call if that was earlier.
+Step = tuple[float, Reach] | tuple[float, Reach, float]
 CONFIRMED, SILENT, BROKEN, STARTED = Reach.CONFIRMED, Reach.SILENT, Reach.BROKEN, Reach.STARTED
 CLOSED = Reach.CLOSED
-DOWN, MOVED, REFUSED, RESET = Reach.UNREACHABLE, Reach.MOVED, Reach.REFUSED, Reach.RESET
-WAITING, LOST, OWN = Reach.WAITING, Reach.NEWS_LOST, Reach.OWN_FAILURE
-BEGUN = [(0, CONFIRMED), (1000, BROKEN)]
-OUTAGE = [(0, CONFIRMED), (1000, BROKEN), (1050, DOWN), (2500, DOWN), (4000, DOWN)]
+UNREACHABLE, MOVED, REFUSED, RESET = Reach.UNREACHABLE, Reach.MOVED, Reach.REFUSED, Reach.RESET
+WAITING, NEWS_LOST, OWN_FAILURE = Reach.WAITING, Reach.NEWS_LOST, Reach.OWN_FAILURE
+WATCH_BROKEN = [(0, CONFIRMED), (1000, BROKEN)]
+OUTAGE = [(0, CONFIRMED), (1000, BROKEN), (1050, UNREACHABLE), (2500, UNREACHABLE), (4000, UNREACHABLE)]
 
 
-def play(lease: MembershipLease, steps: list[Step]) -> None:
+def record_steps(lease: MembershipLease, steps: list[Step]) -> None:
     for at, reach, *since in steps:
         lease.record_reach(at, reach, since[0] if since else at)
 
@@ -52,76 +53,82 @@
 @pytest.mark.parametrize(
     ("pushed", "ask_within", "steps", "end"),
     [
-        (False, 1e4, [], math.inf),  # nobody tells of discovery: the simulator's lists leave nothing out
+        (False, 1e4, [], math.inf),  # no state of discovery is reported: the simulator's lists are complete
         (False, 1e4, [(0, STARTED)], 5000),
         (True, 1e4, [(0, STARTED)], 0),
         (False, 1e4, [(0, CONFIRMED)], 6000),
         (True, 1e4, [(0, CONFIRMED)], 6000),
         (False, 1e4, [(0, CONFIRMED), (2500, SILENT), (2900, WAITING)], 6000),
         (True, 1e4, [(0, CONFIRMED), (2500, SILENT), (2900, WAITING)], 6000),
-        (False, 1e4, BEGUN, 6000),
-        (False, 2e3, BEGUN, 2000),  # the settings give less for asking
-        (True, 1e4, BEGUN, 1000 + GRACE / 2),
-        (True, 1e4, [*BEGUN, (1100, CONFIRMED)], 7100),
-        # Discovery is there, and may have ended its watch in place of news: no failed call lengthens that.
+        (False, 1e4, WATCH_BROKEN, 6000),
+        (False, 2e3, WATCH_BROKEN, 2000),  # the settings require a call sooner
+        (True, 1e4, WATCH_BROKEN, 1000 + GRACE / 2),
+        (True, 1e4, [*WATCH_BROKEN, (1100, CONFIRMED)], 7100),
+        # Discovery is up and may have ended its watch instead of sending news: no failed call extends that.
         (False, 1e4, [(0, CONFIRMED), (1000, CLOSED)], 2500),
         (
             False,
             1e4,
-            [(0, CONFIRMED), (1000, CLOSED), (1050, REFUSED), (1100, DOWN), (4100, REFUSED, 1200)],
+            [(0, CONFIRMED), (1000, CLOSED), (1050, REFUSED), (1100, UNREACHABLE), (4100, REFUSED, 1200)],
             2500,
         ),
         (False, 1e4, [(0, CONFIRMED), (1000, CLOSED), (2000, CONFIRMED)], 8000),
         (True, 1e4, [(0, CONFIRMED), (1000, CLOSED)], 1000 + GRACE / 2),
-        (True, 1e4, [(0, CONFIRMED), (1000, CLOSED), (1050, DOWN)], 1050 + GRACE / 2),
-        # While discovery is down the list holds, from the latest proof of that and as long as a change could.
+        (True, 1e4, [(0, CONFIRMED), (1000, CLOSED), (1050, UNREACHABLE)], 1050 + GRACE / 2),
+        # While discovery is down the list stays valid, counted from the latest proof of that.
         (False, 1e4, OUTAGE, 10000),
         (True, 1e4, OUTAGE, 4000 + GRACE / 2),
         (False, 1e4, [*OUTAGE, (4500, WAITING)], 10000),
         (False, 1e4, [*OUTAGE, (4500, RESET), (5000, WAITING)], 10000),
-        (True, 1e4, [(0, STARTED), (50, DOWN)], 50 + GRACE / 2),
-        # Calls that wait and are refused prove as much, by when they began.
-        (False, 1e4, [*BEGUN, (3000, REFUSED, 1050)], 7050),
-        (False, 1e4, [*BEGUN, (3000, REFUSED, 1050), (5100, REFUSED, 3100)], 9100),
-        (True, 1e4, [*BEGUN, (3000, REFUSED, 1050)], 1050 + GRACE / 2),
+        (True, 1e4, [(0, STARTED), (50, UNREACHABLE)], 50 + GRACE / 2),
+        # Calls that wait and are refused are a proof as well, for the time when they began.
+        (False, 1e4, [*WATCH_BROKEN, (3000, REFUSED, 1050)], 7050),
+        (False, 1e4, [*WATCH_BROKEN, (3000, REFUSED, 1050), (5100, REFUSED, 3100)], 9100),
+        (True, 1e4, [*WATCH_BROKEN, (3000, REFUSED, 1050)], 1050 + GRACE / 2),
         (False, 1e4, [(0, STARTED), (2000, REFUSED, 10)], 6010),
-        # One reset proves nothing, two in a row do; a call that waits between them shows who is there.
-        (False, 1e4, [*BEGUN, (1050, RESET)], 6000),
-        (False, 1e4, [*BEGUN, (1050, RESET), (1150, RESET)], 7150),
-        (False, 1e4, [*BEGUN, (1050, RESET), (1500, WAITING), (2000, RESET)], 6000),
-        # What fails in the node itself proves nothing, and after a gap no proof speaks of what was before it.
-        (False, 1e4, [*BEGUN, (1050, OWN), (2000, OWN), (4000, OWN)], 6000),
-        (False, 1e4, [*BEGUN, (1050, OWN), (4000, DOWN), (5000, DOWN)], 6000),
-        (False, 1e4, [*BEGUN, (1050, DOWN), (9000, DOWN)], 7050),
-        # After silence, SIGHUP or lost news only a list or an empty line ends the time.
-        (False, 1e4, [(0, CONFIRMED), (2500, SILENT), (2600, DOWN), (2700, RESET), (2800, RESET)], 6000),
+        # One reset proves nothing, two in a row do. A call that waits in between shows that discovery is up.
+        (False, 1e4, [*WATCH_BROKEN, (1050, RESET)], 6000),
+        (False, 1e4, [*WATCH_BROKEN, (1050, RESET), (1150, RESET)], 7150),
+        (False, 1e4, [*WATCH_BROKEN, (1050, RESET), (1500, WAITING), (2000, RESET)], 6000),
+        # Failures of the node itself prove nothing, and after a gap no proof covers the time before it.
+        (False, 1e4, [*WATCH_BROKEN, (1050, OWN_FAILURE), (2000, OWN_FAILURE), (4000, OWN_FAILURE)], 6000),
+        (False, 1e4, [*WATCH_BROKEN, (1050, OWN_FAILURE), (4000, UNREACHABLE), (5000, UNREACHABLE)], 6000),
+        (False, 1e4, [*WATCH_BROKEN, (1050, UNREACHABLE), (9000, UNREACHABLE)], 7050),
+        # After silence, SIGHUP or lost news only a list or an empty line removes the expiry.
+        (
+            False,
+            1e4,
+            [(0, CONFIRMED), (2500, SILENT), (2600, UNREACHABLE), (2700, RESET), (2800, RESET)],
+            6000,
+        ),
         (False, 1e4, [(0, CONFIRMED), (2500, SILENT), (5500, REFUSED, 2550), (8500, REFUSED, 5600)], 6000),
-        (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (1100, DOWN), (4000, REFUSED, 1200)], 5000),
+        (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (1100, UNREACHABLE), (4000, REFUSED, 1200)], 5000),
         (False, 1e4, [(0, CONFIRMED), (1000, MOVED)], 5000),
         (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (2000, MOVED), (3000, WAITING)], 5000),
         (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (3000, CONFIRMED)], 9000),
-        (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (2000, CONFIRMED, 0)], 5000),  # of the old address
-        (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (3000, CONFIRMED, 0)], 9000),  # it was not moved at all
-        (False, 1e4, [(0, CONFIRMED), (1000, LOST), (1100, DOWN)], 1000),
-        (False, 1e4, [(0, CONFIRMED), (1000, LOST), (1100, CONFIRMED)], 7100),
+        (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (2000, CONFIRMED, 0)], 5000),  # from the old address
+        # The address did not change.
+        (False, 1e4, [(0, CONFIRMED), (1000, MOVED), (3000, CONFIRMED, 0)], 9000),
+        (False, 1e4, [(0, CONFIRMED), (1000, NEWS_LOST), (1100, UNREACHABLE)], 1000),
+        (False, 1e4, [(0, CONFIRMED), (1000, NEWS_LOST), (1100, CONFIRMED)], 7100),
     ],
 )
-def test_the_lease_ends_when_a_change_may_count_as_told(
+def test_the_lease_ends_when_the_node_may_count_as_notified_of_a_change(
     pushed: bool, ask_within: float, steps: list[Step], end: float
 ) -> None:
     lease = MembershipLease(settings(pushed, ask_within))
-    play(lease, steps)
+    record_steps(lease, steps)
     assert lease.expires == end
     if end < math.inf:
         assert not lease.is_valid(end) and lease.is_valid(end - 1)
         assert lease.compute_send_window(end - 100) == 100 + GRACE / 2 < 100 + GRACE
 
 
-CALL_ENDS = st.sampled_from([RESET, DOWN, REFUSED, OWN, WAITING])
-DRAWN = st.lists(
+CALL_ENDS = st.sampled_from([RESET, UNREACHABLE, REFUSED, OWN_FAILURE, WAITING])
+EVENTS = st.lists(
     st.tuples(
         st.integers(20, 3000),  # ms to the next event
-        st.one_of(CALL_ENDS, st.sampled_from([CONFIRMED, SILENT, CLOSED, BROKEN, MOVED, LOST])),
+        st.one_of(CALL_ENDS, st.sampled_from([CONFIRMED, SILENT, CLOSED, BROKEN, MOVED, NEWS_LOST])),
         st.integers(1, 3000),  # ms that a call took
     ),
     max_size=12,
@@ -129,27 +136,27 @@
 
 
 class PagesModel:
-    """When a change made at some moment counts as told, by the pages, from all that has happened so far."""
+    """Computes by the rules of the pages when the node counts as notified of a change made at any time."""
 
     def __init__(self, pushed: bool) -> None:
         self.pushed = pushed
-        self.known = 0.0  # all that discovery had until then is known
-        self.fixed = math.inf  # silence, SIGHUP, lost news
-        self.down: list[tuple[float, float]] = []  # proven
+        self.known = 0.0  # the node knows all changes that discovery had until then
+        self.fixed = math.inf  # set by silence, SIGHUP and lost news
+        self.down: list[tuple[float, float]] = []  # proven, from and until
         self.watched = True
-        self.ended = False  # the watch, at a moment that the node saw
+        self.ended = False  # the watch, at a time that the node noticed
         self.resets = 0
 
     def note(self, at: float, reach: Reach, since: float) -> None:
         if reach is CONFIRMED:
             self.__init__(self.pushed)  # type: ignore[misc]
             self.known = at
-        elif reach in (SILENT, CLOSED, BROKEN, LOST):
+        elif reach in (SILENT, CLOSED, BROKEN, NEWS_LOST):
             self.watched, self.ended = False, reach in (CLOSED, BROKEN)
             self.known = at if self.ended else self.known
-            bound = {SILENT: self.known + 6000.0, LOST: at}.get(reach, math.inf)
+            bound = {SILENT: self.known + 6000.0, NEWS_LOST: at}.get(reach, math.inf)
             if reach is CLOSED and not self.pushed:
-                bound = at + 1500.0  # 2 s, and the end may be seen late
+                bound = at + 1500.0  # 2 s, and the end may be noticed late
             self.fixed = min(self.fixed, bound)
         elif reach is MOVED:
             self.fixed = min(self.fixed, at + 4000.0)
@@ -159,40 +166,40 @@
             self.resets += 1
             if self.resets > 1:
                 self.down.append((since, at))
-        elif reach is not OWN:
+        elif reach is not OWN_FAILURE:
             self.down.append((since, at))
 
-    def told(self) -> float:
-        """The earliest time at which a change that the node can't know of may count as told."""
+    def notified_at(self) -> float:
+        """Return the earliest time at which the node may count as notified of a change unknown to it."""
         if not self.ended:
             return min(self.fixed, self.known + 6000.0)
         reachable = self.known
-        for begin, end in self.down:  # a span without proof is one in which discovery may have been there
+        for begin, end in self.down:  # in a period without proof discovery may have been up
             if begin - reachable > 2000.0:
                 break
             reachable = end
-        # It may be back at once after the latest proof; a proof speaks of the time at which its call began.
+        # It may be back right after the latest proof; a proof refers to the time at which its call began.
         latest = max((begin for begin, end in self.down if end <= reachable), default=self.known)
         return min(self.fixed, latest + (0.0 if self.pushed else 6000.0))
 
 
-@given(st.booleans(), DRAWN)
-def test_no_order_of_failures_lengthens_the_lease_beyond_what_counts_as_told(
-    pushed: bool, drawn: list[tuple[int, Reach, int]]
+@given(st.booleans(), EVENTS)
+def test_no_order_of_failures_extends_the_lease_beyond_the_rules(
+    pushed: bool, events: list[tuple[int, Reach, int]]
 ) -> None:
     lease, model, now = MembershipLease(settings(pushed)), PagesModel(pushed), 0.0
     lease.record_reach(now, CONFIRMED, now)
     model.note(now, CONFIRMED, now)
-    for wait, reach, took in drawn:
+    for wait, reach, call_ms in events:
         now += wait
-        if reach in (SILENT, CLOSED, BROKEN, LOST) and not model.watched:
-            continue  # there is no watch that could
-        if reach in (RESET, DOWN, REFUSED, OWN, WAITING) and model.watched:
-            continue  # no call is made beside a watch
-        since = max(now - took, now - wait) if reach in (REFUSED, WAITING) else now
+        if reach in (SILENT, CLOSED, BROKEN, NEWS_LOST) and not model.watched:
+            continue  # there is no watch to fail
+        if reach in (RESET, UNREACHABLE, REFUSED, OWN_FAILURE, WAITING) and model.watched:
+            continue  # no call is made during a watch
+        since = max(now - call_ms, now - wait) if reach in (REFUSED, WAITING) else now
         lease.record_reach(now, reach, since)
         model.note(now, reach, since)
-        assert lease.expires <= model.told() + GRACE / 2
+        assert lease.expires <= model.notified_at() + GRACE / 2
 
 
 def policy_with_one_endpoint() -> Policy:
@@ -203,7 +210,7 @@
     return policy
 
 
-def test_nothing_is_sent_by_a_list_that_has_run_out_and_trying_again_does_no_harm() -> None:
+def test_requests_are_refused_and_not_failed_when_the_list_has_expired() -> None:
     policy = policy_with_one_endpoint()
     (sent,) = policy.handle(5990.0, Request(id=1, cls=0, due=7500.0))
     assert isinstance(sent, Send) and sent.within == 10.0 + GRACE / 2
