--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -41,7 +41,7 @@
     Settings = interface.Settings
     State = interface.State
 
-    def entry(number: int, state: Any) -> Any:
+    def entry(number: int, state: object) -> Any:
         return ServerEntry(number, number % 3, number % 2, 0, state, 1.0, 0.0)
 
     cls = RequestClass(aim=200.0, deadline=1000.0, worth=1.0, effect=Effect.SAFE)
