--- a/flaxstep/routing/policy.py
+++ b/flaxstep/routing/policy.py
@@ -203,7 +203,7 @@
         self.subset_start, self.subset_size = 0, 1  # this node's part of ready_servers
         self.subset_servers: list[int] = []
         self.ring = HashRing()  # of the subset
-        # These sets make a change of the list cost as much as what changed and not as the whole fleet.
+        # These sets limit the cost of a list change to the entries that changed.
         self.changed_servers: set[int] = set()  # since the fleet was last measured
         self.possibly_cold_servers: set[int] = set()  # ready ones
         self.ready_by_size_and_kind: dict[tuple[float, int], set[int]] = {}
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -32,7 +32,7 @@
 from tests.support import KEYED, SAFE, START, UNSAFE, PolicyHarness, make_server_entry, make_settings
 
 
-def overload(harness: PolicyHarness, x: float) -> None:
+def set_overload(harness: PolicyHarness, x: float) -> None:
     """Put the policy under a given overload by its error share, and postpone the next upkeep."""
     harness.policy.in_flight_average = harness.policy.in_flight_now = 0
     harness.policy.counted_attempts = 1000.0
@@ -44,7 +44,7 @@
     harness.policy.last_upkeep_at = harness.now
 
 
-def sent_to(harness: PolicyHarness) -> list[int]:
+def get_targets(harness: PolicyHarness) -> list[int]:
     return [action.server for action in harness.actions if isinstance(action, Send)]
 
 
@@ -62,7 +62,7 @@
         harness = PolicyHarness(make_settings(), servers=50)
         for step in range(600):  # fill the score bands
             harness.send_request(step % 3)
-        overload(harness, x)
+        set_overload(harness, x)
         lost = sum(
             harness.settings.classes[step % 3].worth
             for step in range(1500)
@@ -75,7 +75,7 @@
     harness = PolicyHarness(make_settings(), servers=50)
     for step in range(600):
         harness.send_request(step % 3)
-    overload(harness, 0.5)
+    set_overload(harness, 0.5)
     refused = {cls: 0 for cls in range(3)}
     waits: list[float] = []
     for step in range(900):
@@ -100,14 +100,14 @@
         harness = PolicyHarness(make_settings(), servers=50)
         for step in range(600):
             harness.send_request(0 if step % 20 == 0 else 1 + step % 2)
-        overload(harness, x)
+        set_overload(harness, x)
         shares.append(
             sum(any(isinstance(a, Refuse) for a in harness.send_new_request(0)) for _ in range(300)) / 300
         )
     assert shares[1] - shares[0] < 0.5
 
 
-def feed(harness: PolicyHarness, per_second: float, seconds: float, elapsed: float = 100.0) -> int:
+def send_traffic(harness: PolicyHarness, per_second: float, seconds: float, elapsed: float = 100.0) -> int:
     """Send traffic whose responses take the same time at any load; return how many requests were refused."""
     due: list[tuple[float, int]] = []
     refused, end = 0, harness.now + 1000 * seconds
@@ -131,29 +131,29 @@
     # (fleet day of restarts).
     cls = replace(SAFE, aim=250.0, late_value=0.5)
     harness = PolicyHarness(make_settings(classes=(cls,), group_size=200), servers=112)
-    feed(harness, 8, 8, 90.0)
-    out: list[tuple[float, int]] = []
-    since, longest = harness.now, 0.0
+    send_traffic(harness, 8, 8, 90.0)
+    in_flight: list[tuple[float, int]] = []
+    idle_since, longest_idle_ms = harness.now, 0.0
     for _ in range(600):  # 15 s of too much traffic with slow responses
         harness.now += 25
-        while out and out[0][0] <= harness.now:
-            harness.report_outcome(out.pop(0)[1], 0, Result.OK, elapsed)
+        while in_flight and in_flight[0][0] <= harness.now:
+            harness.report_outcome(in_flight.pop(0)[1], 0, Result.OK, elapsed)
         number = harness.send_request(due_in=2000.0)
         if (number, 0) in harness.open_attempts:
-            out.append((harness.now + elapsed, number))
-        if out:
-            since = harness.now
-        longest = max(longest, harness.now - since)
-    assert longest < 1000
+            in_flight.append((harness.now + elapsed, number))
+        if in_flight:
+            idle_since = harness.now
+        longest_idle_ms = max(longest_idle_ms, harness.now - idle_since)
+    assert longest_idle_ms < 1000
 
 
 def test_growing_traffic_with_fast_responses_is_not_refused() -> None:
     # Requests are in flight before their responses arrive: a needed number learned from responses alone
     # refused light traffic when it doubled (icaa5d5, simulated: 0.80 to 1.00; izmir-main 0.77 to 0.83).
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=4)
-    feed(harness, 40, 10)
+    send_traffic(harness, 40, 10)
     for rate in (80, 160, 320):
-        assert feed(harness, rate, 3) == 0
+        assert send_traffic(harness, rate, 3) == 0
 
 
 def test_larger_servers_get_more_keys_and_requests() -> None:
@@ -168,7 +168,7 @@
         for step in range(2000):
             harness.now += 5
             harness.report_outcome(harness.send_request(key=step * 7919 + 1 if keys else 0), 0, Result.OK)
-        share = sum(s < 10 for s in sent_to(harness)) / 2000
+        share = sum(s < 10 for s in get_targets(harness)) / 2000
         assert 0.45 < share < 0.7  # 40 of 70 units of size
 
 
@@ -178,7 +178,7 @@
     for _ in range(50):
         harness.now += 200
         harness.report_outcome(harness.send_request(), 0, Result.OK)
-    assert len(set(sent_to(harness))) > 4
+    assert len(set(get_targets(harness))) > 4
 
 
 def test_a_slow_server_does_not_count_as_idle_because_it_is_unused() -> None:
@@ -188,8 +188,8 @@
     for _ in range(2000):
         harness.now += 20
         number = harness.send_request()
-        harness.report_outcome(number, 0, Result.OK, 300.0 if sent_to(harness)[-1] < 4 else 60.0)
-    share = sum(s < 4 for s in sent_to(harness)[-1500:]) / 1500
+        harness.report_outcome(number, 0, Result.OK, 300.0 if get_targets(harness)[-1] < 4 else 60.0)
+    share = sum(s < 4 for s in get_targets(harness)[-1500:]) / 1500
     assert share < 0.06  # a tenth of the servers
 
 
@@ -213,7 +213,7 @@
         number = harness.send_request(0, tenant=step % 2)
         if (number, 0) in harness.open_attempts:
             harness.report_outcome(number, 0, Result.OK)
-    overload(harness, 0.3)
+    set_overload(harness, 0.3)
     refused = [0, 0]
     for step in range(400):
         harness.now += 0.01
@@ -225,12 +225,12 @@
 def test_servers_with_few_open_attempts_are_preferred() -> None:
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=2)
     harness.send_request()
-    first = sent_to(harness)[0]
+    first = get_targets(harness)[0]
     for _ in range(100):
         number = harness.send_request()
         harness.report_outcome(number, 0, Result.OK)
         harness.now += 1
-    assert sent_to(harness)[1:].count(first) < 10  # by chance it would be half
+    assert get_targets(harness)[1:].count(first) < 10  # by chance it would be half
 
 
 def test_nodes_agree_on_the_servers_of_a_key() -> None:
@@ -240,7 +240,7 @@
         for key in range(1, 400):
             harness.now += 100
             harness.report_outcome(harness.send_request(key=key * 7919), 0, Result.OK)
-        servers_of_keys.append(sent_to(harness))
+        servers_of_keys.append(get_targets(harness))
     same = sum(a == b for a, b in zip(*servers_of_keys, strict=True))
     assert same > 200  # by chance it would be about ten
 
@@ -262,14 +262,14 @@
     for _ in range(400):
         harness.now += 5
         number = harness.send_request()
-        failing = sent_to(harness)[-1] == 0
+        failing = get_targets(harness)[-1] == 0
         bad += failing
         harness.report_outcome(number, 0, Result.ERROR if failing else Result.OK)
     assert bad < 40
     for _ in range(2000):
         harness.now += 10
         harness.report_outcome(harness.send_request(), 0, Result.OK)
-    assert sent_to(harness)[-200:].count(0) > 20
+    assert get_targets(harness)[-200:].count(0) > 20
 
 
 def test_server_that_responds_only_full_is_ejected() -> None:
@@ -279,11 +279,11 @@
         harness.now += 5
         number = harness.send_request()
         while (number, len(harness.attempts[number]) - 1) in harness.open_attempts:
-            result = Result.FULL if sent_to(harness)[-1] == 0 else Result.OK
+            result = Result.FULL if get_targets(harness)[-1] == 0 else Result.OK
             harness.report_outcome(
                 number, len(harness.attempts[number]) - 1, result, 0.5 if result is Result.FULL else 50.0
             )
-    assert sent_to(harness).count(0) < 30
+    assert get_targets(harness).count(0) < 30
 
 
 def test_a_few_bad_servers_are_no_overload() -> None:
@@ -293,7 +293,7 @@
         harness.now += 5
         number = harness.send_request()
         if harness.open_attempts:
-            harness.report_outcome(number, 0, Result.ERROR if sent_to(harness)[-1] < 3 else Result.OK)
+            harness.report_outcome(number, 0, Result.ERROR if get_targets(harness)[-1] < 3 else Result.OK)
         if step > 100:  # they have been ejected by then
             worst = max(worst, harness.policy.error_share)
     assert harness.policy.cut == 0.0
@@ -307,7 +307,7 @@
     for _ in range(300):
         harness.now += 20
         number = harness.send_request(due_in=5500.0)
-        if sent_to(harness)[-1] != 0:
+        if get_targets(harness)[-1] != 0:
             harness.report_outcome(number, 0, Result.OK)
     assert len([key for key in harness.open_attempts if harness.attempts[key[0]][0][1].id == 0]) <= 5
     assert harness.policy.cut == 0.0
@@ -322,7 +322,7 @@
         harness.report_outcome(harness.send_request(due_in=5500.0), 0, Result.OK)
     for _ in range(6):  # six requests at once; those on one server get no response
         harness.send_request(due_in=5500.0)
-    stuck = sent_to(harness)[-1]
+    stuck = get_targets(harness)[-1]
     for request, attempt in list(harness.open_attempts):
         if harness.attempts[request][attempt][1].id != stuck:
             harness.report_outcome(request, attempt, Result.OK)
@@ -331,11 +331,11 @@
         harness.report_outcome(harness.send_request(due_in=5500.0), 0, Result.OK)
         harness.send_request(due_in=5500.0)
     for _ in range(100):
-        assert sent_to(harness)[-1] != stuck
+        assert get_targets(harness)[-1] != stuck
         harness.send_request(due_in=5500.0)
 
 
-def lose_some(harness: PolicyHarness, steps: int) -> int:
+def send_traffic_and_lose_responses(harness: PolicyHarness, steps: int) -> int:
     """Lose the response to every 20th request, give the others in 5 ms; return how many were refused."""
     refused = 0
     for step in range(steps):
@@ -352,17 +352,17 @@
     harness = PolicyHarness(
         make_settings(classes=(replace(UNSAFE, deadline=1200.0, late_value=0.2),)), servers=4
     )
-    lose_some(harness, 100)
+    send_traffic_and_lose_responses(harness, 100)
     # At any time more responses are missing than there are servers, and each server continues to respond.
-    assert lose_some(harness, 1000) == 0
-    assert len(set(sent_to(harness)[-200:])) == 4
+    assert send_traffic_and_lose_responses(harness, 1000) == 0
+    assert len(set(get_targets(harness)[-200:])) == 4
 
 
 def test_lost_responses_do_not_count_as_requests_in_flight() -> None:
     harness = PolicyHarness(
         make_settings(classes=(replace(UNSAFE, deadline=1200.0, late_value=0.2),)), servers=4
     )
-    lose_some(harness, 1000)
+    send_traffic_and_lose_responses(harness, 1000)
     assert len(harness.open_attempts) >= 5
     assert harness.policy.in_flight_average < 2.0
 
@@ -407,7 +407,7 @@
             number, attempt = harness.send_request(), 0
             while (number, attempt) in harness.open_attempts:
                 # Five of eight servers reject half of their requests; with a queue, all do.
-                busy = (sent_to(harness)[-1] < 5 or not calm) and step > 1500
+                busy = (get_targets(harness)[-1] < 5 or not calm) and step > 1500
                 if busy and step % 2 and not attempt:
                     harness.report_outcome(number, attempt, Result.FULL, 10.0)
                 else:
@@ -453,7 +453,7 @@
     for _ in range(30):
         harness.now += 5
         number = harness.send_request()
-        assert sent_to(harness)[-1] >= 3
+        assert get_targets(harness)[-1] >= 3
         harness.report_outcome(number, 0, Result.OK, 5.0)
 
 
@@ -461,7 +461,7 @@
     for x, most in ((0.0, 4), (1.0, 1)):
         harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=30)
         number = harness.send_request()
-        overload(harness, x)
+        set_overload(harness, x)
         while (number, len(harness.attempts[number]) - 1) in harness.open_attempts:
             harness.report_outcome(number, len(harness.attempts[number]) - 1, Result.FULL)
         assert len(harness.attempts[number]) == most
@@ -538,7 +538,7 @@
     for _ in range(400):
         harness.now += 5
         number = harness.send_request()
-        harness.report_outcome(number, 0, Result.ERROR if sent_to(harness)[-1] == 0 else Result.OK)
+        harness.report_outcome(number, 0, Result.ERROR if get_targets(harness)[-1] == 0 else Result.OK)
     assert harness.policy.endpoints[0].health[0].ejected_until > 0
     harness.send_list([replace(make_server_entry(0), started=harness.now - 60_000.0)])
     assert not harness.policy.endpoints[0].health[0].ejected_until
@@ -546,7 +546,7 @@
 
 
 def test_same_events_same_actions_and_instances_share_nothing() -> None:
-    def play(other: bool) -> list[object]:
+    def run_events(other: bool) -> list[object]:
         harness = PolicyHarness(make_settings(warm_keys=True), seed=4)
         neighbour = PolicyHarness(make_settings(warm_keys=True), seed=9) if other else None
         for step in range(400):
@@ -558,7 +558,7 @@
                 neighbour.send_request(step % 3, key=step % 5)
         return harness.actions
 
-    assert play(False) == play(True)
+    assert run_events(False) == run_events(True)
 
 
 def test_unknown_server_or_class_is_a_clear_error() -> None:
@@ -581,7 +581,7 @@
         for _ in range(200):
             harness.now += 50
             harness.report_outcome(harness.send_request(), 0, Result.OK)
-        used.append(set(sent_to(harness)))
+        used.append(set(get_targets(harness)))
     assert len(used[0]) <= 9
     assert not used[0] & used[1]
 
@@ -606,7 +606,7 @@
     harness = PolicyHarness(make_settings(classes=(UNSAFE,), group_size=200), servers=50)
     for _ in range(6):
         harness.send_request()
-    assert len(set(sent_to(harness))) == 6
+    assert len(set(get_targets(harness))) == 6
 
 
 def test_small_node_does_not_refuse_because_of_chance_bursts() -> None:
@@ -625,17 +625,17 @@
 def test_fleet_whose_requests_wait_on_others_is_not_limited_by_its_listed_size() -> None:
     # Requests that use no core let a server process many more at once than its listed size.
     harness = PolicyHarness(make_settings(classes=(UNSAFE,)), servers=4)
-    held: list[int] = []
+    in_flight: list[int] = []
     refused_late = 0
     for step in range(3000):
         harness.now += 8
         number = harness.send_request()
         if (number, 0) in harness.open_attempts:
-            held.append(number)
+            in_flight.append(number)
         elif step > 2000:
             refused_late += 1
-        while held and len(held) > 12:
-            harness.report_outcome(held.pop(0), 0, Result.OK, 96.0)
+        while in_flight and len(in_flight) > 12:
+            harness.report_outcome(in_flight.pop(0), 0, Result.OK, 96.0)
     assert refused_late < 50
 
 
@@ -646,7 +646,7 @@
         number = harness.send_request(step % 2)
         if (number, 0) in harness.open_attempts:
             harness.report_outcome(number, 0, Result.OK, 30.0 if step % 2 else 90.0)
-    overload(harness, 0.8)
+    set_overload(harness, 0.8)
     refused = [0, 0]
     for step in range(600):
         refused[step % 2] += any(isinstance(a, Refuse) for a in harness.send_new_request(step % 2))
@@ -661,11 +661,11 @@
         harness.now += 4
         if step == 2000:
             harness.send_list([make_server_entry(i, started=harness.now) for i in range(5, 20)])
-            action_count = len(sent_to(harness))
+            action_count = len(get_targets(harness))
         number = harness.send_request()
         if (number, 0) in harness.open_attempts:
             harness.report_outcome(number, 0, Result.OK)
-    cold = sum(target >= 5 for target in sent_to(harness)[action_count:])
+    cold = sum(target >= 5 for target in get_targets(harness)[action_count:])
     assert 0.35 < cold / 2000 < 0.75
 
 
@@ -676,7 +676,7 @@
         harness.policy.endpoints[failing].health[0].ejected_until = harness.now + 60_000.0
     for _ in range(50):
         harness.report_outcome(harness.send_request(), 0, Result.OK)
-    assert set(sent_to(harness)) == {11}
+    assert set(get_targets(harness)) == {11}
 
 
 def test_all_servers_failing_is_overload_though_each_is_known_to_fail() -> None:
@@ -696,9 +696,9 @@
 def test_the_needed_number_in_flight_of_a_small_node_can_be_below_one() -> None:
     # A minimum of one request per node let 600 nodes have nine in flight for each core (ib2adee, simulated).
     harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=600), servers=60)
-    feed(harness, 5, 30, 60.0)
+    send_traffic(harness, 5, 30, 60.0)
     assert harness.policy.needed_in_flight < 0.8
-    assert feed(harness, 5, 30, 60.0) == 0
+    assert send_traffic(harness, 5, 30, 60.0) == 0
 
 
 def test_only_the_class_that_fails_on_a_server_goes_to_others() -> None:
@@ -709,7 +709,7 @@
         harness.now += 10
         number = harness.send_request(step % 2)
         if (number, 0) in harness.open_attempts:
-            failing = sent_to(harness)[-1] < 2 and step % 2
+            failing = get_targets(harness)[-1] < 2 and step % 2
             harness.report_outcome(number, 0, Result.ERROR if failing else Result.OK)
     late = [(a.server, harness.requests[a.id].cls) for a in harness.actions if isinstance(a, Send)][-600:]
     assert sum(s < 2 and cls == 1 for s, cls in late) < 12
@@ -734,7 +734,7 @@
         harness.now += 20
         if step == 2000:
             harness.send_list([make_server_entry(10, started=harness.now)])
-            action_count = len(sent_to(harness))
+            action_count = len(get_targets(harness))
         number = harness.send_request()
         while harness.open_attempts:
             attempt = next(iter(harness.open_attempts))
@@ -743,7 +743,7 @@
             harness.report_outcome(*attempt, result)
         if step == 2300:
             break
-    per_second = sent_to(harness)[action_count:].count(10) / 6.0
+    per_second = get_targets(harness)[action_count:].count(10) / 6.0
     assert 0 < per_second < 50 / 10  # the rate of a warm server before the fault
 
 
@@ -782,8 +782,8 @@
         for _ in range(100):
             harness.now += 20
             number = harness.send_request()
-            harness.report_outcome(number, 0, Result.FULL if sent_to(harness)[-1] == 0 else Result.OK)
-        assert sent_to(harness).count(0) <= most
+            harness.report_outcome(number, 0, Result.FULL if get_targets(harness)[-1] == 0 else Result.OK)
+        assert get_targets(harness).count(0) <= most
 
 
 def test_idle_servers_of_the_own_zone_are_preferred_but_not_exclusive() -> None:
@@ -792,12 +792,12 @@
     for _ in range(600):
         harness.now += 20
         harness.report_outcome(harness.send_request(), 0, Result.OK)
-    near = sum(harness.listed_entries[i].zone == 1 for i in sent_to(harness)) / 600
+    near = sum(harness.listed_entries[i].zone == 1 for i in get_targets(harness)) / 600
     assert 0.5 < near < 0.95
     for _ in range(40):  # they respond no more: the others take over at once
         harness.now += 20
         harness.send_request()
-    stuck = [harness.listed_entries[i].zone for i in sent_to(harness)[-30:]]
+    stuck = [harness.listed_entries[i].zone for i in get_targets(harness)[-30:]]
     assert stuck.count(1) < 16
 
 
@@ -824,7 +824,7 @@
 def test_the_allowed_growth_falls_gradually_with_errors() -> None:
     # At a certain error share the allowed growth vanished at once, and overload jumped from 0.1 to 1.
     harness = PolicyHarness(make_settings(classes=(SAFE,)), servers=8)
-    feed(harness, 50, 10)
+    send_traffic(harness, 50, 10)
     needs = []
     for errors in (0.04, 0.06):
         harness.policy.error_share = errors
@@ -835,7 +835,7 @@
 
 def test_a_new_node_knows_its_rate_at_once() -> None:
     harness = PolicyHarness(make_settings(classes=(SAFE,), group_size=20), servers=8)
-    feed(harness, 50, 1)
+    send_traffic(harness, 50, 1)
     assert 0.6 < harness.policy.timely_rate * 1000 / 50 < 1.4
 
 
@@ -864,7 +864,7 @@
     assert set(harness.policy.endpoints) == {39, 40}
 
 
-def busy_traffic(harness: PolicyHarness, ms: int) -> None:
+def send_busy_traffic(harness: PolicyHarness, ms: int) -> None:
     """Send a request every 5 ms; each gets its response 40 ms after it was sent."""
     for _ in range(ms // 5):
         harness.send_request()
@@ -877,7 +877,7 @@
 def test_requests_stuck_in_flight_do_not_count_as_grown_traffic() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
     policy = harness.policy
-    busy_traffic(harness, 4000)
+    send_busy_traffic(harness, 4000)
     busy = policy.best_timely_rate
     most = 0.0
     for _ in range(140):  # the same traffic as before, but no response arrives
@@ -891,22 +891,22 @@
 
 def test_cordoned_servers_reduce_the_needed_number_in_flight() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
-    busy_traffic(harness, 4000)
+    send_busy_traffic(harness, 4000)
     before = harness.policy.needed_in_flight
-    for out in range(4):
-        harness.dispatch_event(Cordon(out))
+    for server_id in range(4):
+        harness.dispatch_event(Cordon(server_id))
     # The remaining servers get all the traffic of before, which does not prove that they can handle it.
-    busy_traffic(harness, 500)
+    send_busy_traffic(harness, 500)
     assert harness.policy.needed_in_flight < 0.6 * before
-    for out in range(4):
-        harness.dispatch_event(Uncordon(out, harness.now - 20_000.0))  # warm at once
-    busy_traffic(harness, 100)
+    for server_id in range(4):
+        harness.dispatch_event(Uncordon(server_id, harness.now - 20_000.0))  # warm at once
+    send_busy_traffic(harness, 100)
     assert harness.policy.needed_in_flight > 0.9 * before
 
 
 def test_the_best_rate_decays_fast_while_responses_are_slow() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
-    busy_traffic(harness, 4000)
+    send_busy_traffic(harness, 4000)
     best = harness.policy.best_timely_rate
     for _ in range(500):  # another node has returned: half the traffic, and still the responses are slow
         harness.send_request()
@@ -920,22 +920,22 @@
 
 def test_temporary_servers_do_not_reduce_the_needed_number_in_flight() -> None:
     harness = PolicyHarness(make_settings(), servers=8)
-    busy_traffic(harness, 4000)
+    send_busy_traffic(harness, 4000)
     before = harness.policy.needed_in_flight
     # As in a release: the new servers are added before the old ones are removed.
     harness.send_list([make_server_entry(i) for i in range(8, 16)])
-    busy_traffic(harness, 1000)
+    send_busy_traffic(harness, 1000)
     harness.send_list([make_server_entry(i, State.GONE) for i in range(8, 16)])
-    busy_traffic(harness, 200)
+    send_busy_traffic(harness, 200)
     assert harness.policy.needed_in_flight > 0.8 * before
 
 
 def test_a_queue_well_within_the_aim_is_no_overload() -> None:
     """A small node takes over another's traffic: responses take longer than the fastest, but not the aim."""
     harness = PolicyHarness(make_settings(), servers=8)
-    busy_traffic(harness, 3000)
-    assert feed(harness, 300, 4, 66.0) == 0  # the aim is 400 ms, and the fastest took 40
-    assert feed(harness, 300, 4, 200.0) > 100
+    send_busy_traffic(harness, 3000)
+    assert send_traffic(harness, 300, 4, 66.0) == 0  # the aim is 400 ms, and the fastest took 40
+    assert send_traffic(harness, 300, 4, 200.0) > 100
 
 
 def test_under_load_requests_go_to_the_least_loaded_servers() -> None:
@@ -952,12 +952,12 @@
 def test_a_node_that_starts_during_overload_does_not_take_it_for_normal() -> None:
     """Its fastest responses were slow; the aims show that they are (overload in the simulator)."""
     harness = PolicyHarness(make_settings(), servers=8)
-    assert feed(harness, 400, 4, 320.0) > 800
+    assert send_traffic(harness, 400, 4, 320.0) > 800
 
 
 def test_new_queues_are_tolerated_only_with_few_nodes() -> None:
     """200 nodes that each wait for a queue to end fill the servers up together (split+mass: 0.70 to 0.62)."""
     few, many = (PolicyHarness(make_settings(group_size=nodes), servers=8) for nodes in (3, 200))
     for harness in (few, many):
-        busy_traffic(harness, 3000)
+        send_busy_traffic(harness, 3000)
     assert few.policy.needed_in_flight > 1.2 * many.policy.needed_in_flight
