--- a/flaxstep/proxy/client_connections.py
+++ b/flaxstep/proxy/client_connections.py
@@ -14,8 +14,8 @@
 import httptools
 
 from flaxstep.proxy.config import Config
-from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response, reset
-from flaxstep.proxy.event_log import event
+from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response, reset_connection
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.request_bodies import (
     BUFFERED_BODY_BYTES,
     MAX_REQUEST_BODY_BYTES,
@@ -182,7 +182,7 @@
         self.keep_to_limit(None)
 
     def opened(self, client: ClientConnection) -> None:
-        event("client_connected", connection=client.descriptor)
+        log_event("client_connected", connection=client.descriptor)
         self.connections.add(client)
         self.silent[client] = self.unproven[client] = self.loop.time()
         self.keep_to_limit(client)
@@ -281,7 +281,7 @@
         """Requests that have come whole and wait behind others on their connections."""
         items = [item for client in self.connections for item, _ in client.waiting]
         requests = [item.message for item in items if isinstance(item, ClientRequest)]
-        return sum(message.upload is None or message.upload.whole for message in requests)
+        return sum(message.upload is None or message.upload.complete for message in requests)
 
     def check(
         self, parser: httptools.HttpRequestParser, url: bytes, headers: Headers
@@ -409,7 +409,7 @@
     def leave(self) -> None:
         """Nothing more comes or goes."""
         if not self.shut:
-            event("client_left", connection=self.descriptor, request=self.request_id)
+            log_event("client_left", connection=self.descriptor, request=self.request_id)
         self.ended = self.shut = True
         self.listener.left(self)
         self.listener.paused.pop(self.descriptor, None)
@@ -431,7 +431,7 @@
         """No answer goes out from here on. What still comes can get none, so none of it is taken."""
         if self.shut:
             return
-        event("client_closed", connection=self.descriptor, cause=cause)
+        log_event("client_closed", connection=self.descriptor, cause=cause)
         self.ended = self.shut = True
         self.waiting.clear()
         self.crowded = self.held = False
@@ -475,7 +475,7 @@
         if len(waiting) < 2:
             return False
         bodies = sum(len(item.message.body) for item, _ in waiting if isinstance(item, ClientRequest))
-        return len(waiting) > MAX_WAITING or bodies > self.listener.body_budget.share
+        return len(waiting) > MAX_WAITING or bodies > self.listener.body_budget.share_bytes
 
     def read_or_not(self) -> None:
         if self.transport.is_closing():
@@ -509,7 +509,7 @@
             self.hang_up("malformed_after_last_answer")
             return
         self.ended = True
-        if upload is not None and upload.answered:
+        if upload is not None and upload.response_sent:
             self.end()
         elif self.uploader:  # the request under way is the one that is broken
             self.keep = False
@@ -529,10 +529,10 @@
             self.timer.cancel()
         if self.counted:
             self.counted = False
-            self.listener.body_budget.bodies -= 1
+            self.listener.body_budget.body_count -= 1
         if self.upload is not None:
             upload, self.upload = self.upload, None
-            upload.break_off()
+            upload.abort()
 
     def on_message_begin(self) -> None:
         self.listener.idle.pop(self, None)
@@ -611,7 +611,7 @@
     def count_body(self) -> None:
         if not self.counted:
             self.counted = True
-            self.listener.body_budget.bodies += 1
+            self.listener.body_budget.body_count += 1
 
     def on_body(self, body: bytes) -> None:
         self.came += len(body)
@@ -623,7 +623,7 @@
         self.body += body
         if len(self.body) > MIN_BODY_SHARE_BYTES:
             self.count_body()
-        if len(self.body) > self.listener.body_budget.share:
+        if len(self.body) > self.listener.body_budget.share_bytes:
             # Where many bodies are in hand, less of each is held, also of those with a length.
             self.start_upload(None if self.headers.chunked else self.headers.length)
 
@@ -641,9 +641,9 @@
             self.waiting.append((error, keep))
 
     def end_upload(self, upload: Upload) -> None:
-        upload.end()
+        upload.finish()
         self.pause_upload(False)
-        if upload.answered:
+        if upload.response_sent:
             if self.ended:
                 self.hang_up("last_answer")
             elif not self.busy and not self.waiting:
@@ -703,7 +703,7 @@
 
     def take(self, request: ClientRequest) -> None:
         upload = request.message.upload
-        self.uploader = upload is not None and not upload.whole
+        self.uploader = upload is not None and not upload.complete
         self.listener.handler.accept_request(self, request)
         if self.uploader and request.expects and self.busy:
             self.go_ahead()
@@ -763,8 +763,8 @@
         """The rest of the answer never comes, and the client has to see that."""
         self.request_id = 0
         self.ended = True
-        event("client_reset", connection=self.descriptor, cause="answer_broke_off")
-        reset(self.transport)
+        log_event("client_reset", connection=self.descriptor, cause="answer_broke_off")
+        reset_connection(self.transport)
 
     def pause_writing(self) -> None:
         if self.answering:
@@ -778,7 +778,7 @@
         """The final answer has been written."""
         self.busy = False
         if self.uploader and self.upload is not None:
-            self.upload.drop()
+            self.upload.discard_rest()
         self.uploader = False
         if not keep:
             self.end()
--- a/flaxstep/proxy/connection_close.py
+++ b/flaxstep/proxy/connection_close.py
@@ -9,10 +9,13 @@
 from contextlib import suppress
 from http import HTTPStatus
 
-LINGER = 1.0  # s to discard what still comes after an answer that ends the connection
-STALL = 5.0  # s without taking a byte of that answer after which the rest of it is given up
+LINGER_TIMEOUT_S = 1.0  # s to discard what still comes after an answer that ends the connection
+WRITE_STALL_TIMEOUT_S = 5.0  # s without taking a byte of that answer after which the rest of it is given up
 
-STATUS_LINES = {s.value: f"HTTP/1.1 {s.value} {s.phrase}\r\nContent-Length: ".encode() for s in HTTPStatus}
+STATUS_LINES = {
+    status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Length: ".encode()
+    for status in HTTPStatus
+}
 
 
 def close_after_response(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
@@ -28,42 +31,49 @@
     _linger(loop, transport, transport.get_write_buffer_size(), loop.time())
 
 
-def _linger(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, left: int, since: float) -> None:
-    """Wait on while the other side still takes what was written: `left` bytes since `since`."""
+def _linger(
+    loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, unsent_bytes: int, unchanged_since: float
+) -> None:
+    """Wait on while the other side still takes what was written: `unsent_bytes` since `unchanged_since`."""
     if transport.is_closing():
         return
-    now_left = transport.get_write_buffer_size()
-    if now_left != left:
-        left, since = now_left, loop.time()
-    if loop.time() - since >= (STALL if left else LINGER):
+    now_unsent_bytes = transport.get_write_buffer_size()
+    if now_unsent_bytes != unsent_bytes:
+        unsent_bytes, unchanged_since = now_unsent_bytes, loop.time()
+    if loop.time() - unchanged_since >= (WRITE_STALL_TIMEOUT_S if unsent_bytes else LINGER_TIMEOUT_S):
         transport.abort()
     else:
-        loop.call_later(LINGER / 4, _linger, loop, transport, left, since)
+        loop.call_later(LINGER_TIMEOUT_S / 4, _linger, loop, transport, unsent_bytes, unchanged_since)
 
 
-def unread_poll(descriptor: int) -> select.poll:
+def poll_unread_input(descriptor: int) -> select.poll:
     """What tells, when asked, of all that has come and the loop has not read: a byte, an end or a reset."""
-    asked = select.poll()
-    asked.register(descriptor, select.POLLIN | select.POLLRDHUP)
-    return asked
+    poller = select.poll()
+    poller.register(descriptor, select.POLLIN | select.POLLRDHUP)
+    return poller
 
 
-def abort_now(transport: asyncio.Transport) -> None:
+def abort_immediately(transport: asyncio.Transport) -> None:
     """End a connection in this very step: the transport's own end waits for the loop's next turn."""
-    sock = transport.get_extra_info("socket")
-    if sock is not None and not transport.is_closing():
-        bare = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
+    connection_socket = transport.get_extra_info("socket")
+    if connection_socket is not None and not transport.is_closing():
+        duplicate = socket.socket(
+            connection_socket.family,
+            connection_socket.type,
+            connection_socket.proto,
+            fileno=connection_socket.fileno(),
+        )
         try:
             with suppress(OSError):  # the other side may have ended it
-                bare.shutdown(socket.SHUT_WR)
+                duplicate.shutdown(socket.SHUT_WR)
         finally:
-            bare.detach()  # the descriptor stays the transport's
+            duplicate.detach()  # the descriptor stays the transport's
     transport.abort()
 
 
-def reset(transport: asyncio.Transport) -> None:
+def reset_connection(transport: asyncio.Transport) -> None:
     """End a connection so that the other side can tell it from an orderly end."""
-    sock = transport.get_extra_info("socket")
-    if sock is not None and not transport.is_closing():
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    connection_socket = transport.get_extra_info("socket")
+    if connection_socket is not None and not transport.is_closing():
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
--- a/flaxstep/proxy/event_log.py
+++ b/flaxstep/proxy/event_log.py
@@ -13,20 +13,20 @@
 log = logging.getLogger("flaxstep.proxy.events")
 
 
-def event(name: str, **fields: object) -> None:
+def log_event(name: str, **fields: object) -> None:
     """Write one line, if lines about single events are wanted."""
     if log.isEnabledFor(logging.DEBUG):
-        pairs = [f"{key}={text(value)}" for key, value in fields.items()]
+        pairs = [f"{key}={format_value(value)}" for key, value in fields.items()]
         log.debug("%s", " ".join([f"event={name}", *pairs]))
 
 
-def text(value: object) -> str:
+def format_value(value: object) -> str:
     """A value as it stands in a line: without white space, fractions to three places."""
     if isinstance(value, float):
         return f"{value:.3f}"
     if isinstance(value, bytes):
         value = value.decode("latin-1")
-    words = str(value)
-    if not words.isprintable() or not words or any(c in ' "=' for c in words):
-        return '"' + words.encode("unicode_escape").decode().replace('"', '\\"') + '"'
-    return words
+    text = str(value)
+    if not text.isprintable() or not text or any(c in ' "=' for c in text):
+        return '"' + text.encode("unicode_escape").decode().replace('"', '\\"') + '"'
+    return text
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -27,7 +27,7 @@
 )
 from flaxstep.proxy.config import Address, Config
 from flaxstep.proxy.discovery import Discovery
-from flaxstep.proxy.event_log import event as log_event
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.member_list import Endpoint, MemberList, MemberListReader
 from flaxstep.proxy.metrics import Metrics, ServerMetrics
 from flaxstep.proxy.request_bodies import MAX_REQUEST_BODY_BYTES, BodyBudget
@@ -241,7 +241,7 @@
         self.last_id += 1
         request_id = client.request_id = self.last_id
         upload = request.message.upload
-        uploading = upload is not None and not upload.whole
+        uploading = upload is not None and not upload.complete
         due = max(request.sent, now_ms() if upload is not None else 0.0) + request.timeout - MARGIN
         if uploading:
             due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
@@ -310,7 +310,7 @@
         if held is not None and result is not Result.CANCELLED:
             self.by_server.ended(attempt.server.id, held.cls, result, elapsed)
         upload = attempt.message.upload
-        spent = upload is not None and upload.spent
+        spent = upload is not None and upload.partly_sent
         self.tell(Outcome(request_id, attempt.server.id, over, result, attempt.number, elapsed, spent=spent))
 
     def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
@@ -511,7 +511,7 @@
     def share_room(self) -> None:
         """Two processes are one node: each keeps to half of what it may hold."""
         parts = 2 if self.handover.others else 1
-        self.body_budget.budget = (self.config.memory_mb << 20) // BODIES // parts
+        self.body_budget.total_bytes = (self.config.memory_mb << 20) // BODIES // parts
         clients, servers = connection_limits(self.config.sockets // parts)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
--- a/flaxstep/proxy/request_bodies.py
+++ b/flaxstep/proxy/request_bodies.py
@@ -12,28 +12,30 @@
 class BodyBudget:
     """One budget for the bodies in hand over all connections: the more there are, the less is held."""
 
-    def __init__(self, budget: int) -> None:
-        self.budget = budget
-        self.bodies = 0
+    def __init__(self, total_bytes: int) -> None:
+        self.total_bytes = total_bytes
+        self.body_count = 0
         self.buffer = bytearray(BUFFERED_BODY_BYTES)  # what every connection reads into, one after the other
 
     @property
-    def share(self) -> int:
+    def share_bytes(self) -> int:
         """Bytes to hold of one body."""
-        return min(max(self.budget // max(self.bodies, 1), MIN_BODY_SHARE_BYTES), BUFFERED_BODY_BYTES)
+        return min(
+            max(self.total_bytes // max(self.body_count, 1), MIN_BODY_SHARE_BYTES), BUFFERED_BODY_BYTES
+        )
 
     def read_buffer(self) -> memoryview:
-        return memoryview(self.buffer)[: self.share]
+        return memoryview(self.buffer)[: self.share_bytes]
 
 
-class Source(Protocol):
+class UploadSource(Protocol):
     """The client that sends a body."""
 
-    def pause_upload(self, hold: bool) -> None:
+    def pause_upload(self, pause: bool) -> None:
         """Read no more of it, or read on."""
 
 
-class Sink(Protocol):
+class UploadSink(Protocol):
     """The connection to the server that gets it."""
 
     def write_chunk(self, data: bytes) -> None:
@@ -49,57 +51,59 @@
 class Upload:
     """A request's body that is passed on as it comes. Pauses bound what is held while no server takes it."""
 
-    def __init__(self, source: Source, body_budget: BodyBudget, length: int | None, begun: bytes) -> None:
+    def __init__(
+        self, source: UploadSource, body_budget: BodyBudget, length: int | None, first_part: bytes
+    ) -> None:
         self.source = source
         self.body_budget = body_budget
         self.length = length  # None: it comes in chunks
-        self.held = [begun] if begun else []
-        self.size = len(begun)
-        self.sink: Sink | None = None
-        self.spent = False  # a server has got some of it: it can't be sent again
-        self.whole = self.over = False  # the last byte has come; nobody wants the rest
-        self.answered = False  # as the request has its answer
+        self.buffered_parts = [first_part] if first_part else []
+        self.buffered_bytes = len(first_part)
+        self.sink: UploadSink | None = None
+        self.partly_sent = False  # a server has got some of it: it can't be sent again
+        self.complete = self.discarding = False  # the last byte has come; nobody wants the rest
+        self.response_sent = False  # as the request has its answer
 
     def feed(self, data: bytes) -> None:
-        if self.over:
+        if self.discarding:
             return
         if self.sink is not None:
             self.sink.write_chunk(data)
             return
-        self.held.append(data)
-        self.size += len(data)
-        if self.size >= self.body_budget.share:
+        self.buffered_parts.append(data)
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes >= self.body_budget.share_bytes:
             self.source.pause_upload(True)
 
-    def end(self) -> None:
-        self.whole = True
+    def finish(self) -> None:
+        self.complete = True
         if self.sink is not None:
             self.sink.finish_body()
 
-    def join(self, sink: Sink) -> None:
+    def attach(self, sink: UploadSink) -> None:
         """A server takes it from here."""
-        self.sink, self.spent = sink, True
-        held, self.held, self.size = self.held, [], 0
-        for data in held:
+        self.sink, self.partly_sent = sink, True
+        parts, self.buffered_parts, self.buffered_bytes = self.buffered_parts, [], 0
+        for data in parts:
             sink.write_chunk(data)
-        if self.whole:
+        if self.complete:
             sink.finish_body()
-        elif not self.over:
+        elif not self.discarding:
             self.source.pause_upload(False)
 
-    def leave(self) -> None:
+    def detach(self) -> None:
         """That server takes no more of it."""
         self.sink = None
 
-    def drop(self) -> None:
+    def discard_rest(self) -> None:
         """The request has its answer: what still comes is read and thrown away."""
-        self.over, self.answered, self.sink = True, True, None
-        self.held.clear()
+        self.discarding, self.response_sent, self.sink = True, True, None
+        self.buffered_parts.clear()
         self.source.pause_upload(False)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The client sends no more of it."""
-        sink, self.over, self.sink = self.sink, True, None
-        self.held.clear()
-        if sink is not None and not self.whole:
+        sink, self.discarding, self.sink = self.sink, True, None
+        self.buffered_parts.clear()
+        if sink is not None and not self.complete:
             sink.abort_body()
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -11,8 +11,8 @@
 import httptools
 
 from flaxstep.proxy.config import Address
-from flaxstep.proxy.connection_close import abort_now, unread_poll
-from flaxstep.proxy.event_log import event
+from flaxstep.proxy.connection_close import abort_immediately, poll_unread_input
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.metrics import Metrics
 from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES, MIN_BODY_SHARE_BYTES, BodyBudget, Upload
 from flaxstep.proxy.wall_clock import now_ms
@@ -159,7 +159,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
-        self.unread = unread_poll(transport.get_extra_info("socket").fileno())
+        self.unread = poll_unread_input(transport.get_extra_info("socket").fileno())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
@@ -180,12 +180,12 @@
         """No answer, or no more of it, is waited for here."""
         attempt = self.leave()
         # Before the module hears of it: what it sends next must not be a second one out.
-        abort_now(self.transport)
+        abort_immediately(self.transport)
         if attempt is not None:
             self.pool.end(attempt, result)
 
     def close(self, cause: str) -> None:
-        event("upstream_closed", endpoint=self.server.id, cause=cause)
+        log_event("upstream_closed", endpoint=self.server.id, cause=cause)
         if cause in RESET_CAUSES:
             self.transport.abort()
         else:
@@ -201,9 +201,9 @@
         self.parts.clear()
         if self.counted:
             self.counted = False
-            self.pool.body_budget.bodies -= 1
+            self.pool.body_budget.body_count -= 1
         if attempt is not None and attempt.message.upload is not None:
-            attempt.message.upload.leave()
+            attempt.message.upload.detach()
         return attempt
 
     # The request.
@@ -211,7 +211,7 @@
     def start(self, attempt: Attempt) -> None:
         self.attempt = attempt
         attempt.connection = self
-        event(
+        log_event(
             "attempt_sent",
             request=attempt.message.request_id,
             attempt=attempt.number,
@@ -235,7 +235,7 @@
         else:
             self.transport.write(head)
             self.transport.set_write_buffer_limits(0)  # nothing is held here: what is not taken waits
-            upload.join(self)
+            upload.attach(self)
 
     def written(self) -> None:
         assert self.attempt is not None
@@ -357,7 +357,7 @@
     def count(self) -> None:
         if not self.counted:
             self.counted = True
-            self.pool.body_budget.bodies += 1
+            self.pool.body_budget.body_count += 1
 
     # What the parser finds.
 
@@ -411,7 +411,7 @@
             self.parts.append(body)
             if self.size > MIN_BODY_SHARE_BYTES:
                 self.count()
-            if self.size > self.pool.body_budget.share:
+            if self.size > self.pool.body_budget.share_bytes:
                 self.begin()
 
     def on_message_complete(self) -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,7 +11,7 @@
 
 from flaxstep.proxy import client_connections, server_connections
 from flaxstep.proxy.client_connections import stable_id
-from flaxstep.proxy.connection_close import reset
+from flaxstep.proxy.connection_close import reset_connection
 from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES, MIN_BODY_SHARE_BYTES, BodyBudget
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Began, Outcome, Request, Result, Uploaded
@@ -103,7 +103,7 @@
             due = (await stand.event(Uploaded)).due  # its time runs from the last byte
             assert 0 < due - now_ms() < 8000.0
             assert (await stand.outcome()).result == Result.OK
-            assert stand.node.body_budget.bodies == 0 and not stand.node.held
+            assert stand.node.body_budget.body_count == 0 and not stand.node.held
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200  # the connection goes on
 
     run(test())
@@ -148,7 +148,11 @@
             assert isinstance(await stand.event(Began), Began)
             outcome = await stand.outcome()
             assert (outcome.result, outcome.over) == (Result.OK, True)
-            assert stand.node.body_budget.bodies == 0 and not stand.node.held and not stand.node.pool.attempts
+            assert (
+                stand.node.body_budget.body_count == 0
+                and not stand.node.held
+                and not stand.node.pool.attempts
+            )
             if version == b"HTTP/1.1":
                 assert field(head, b"Connection") is None
                 client.writer.write(request())
@@ -209,7 +213,7 @@
     async def break_off(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(ANSWERS[form][: len(BIG) // 2])
         await asyncio.sleep(0.1)  # it goes out before the reset throws away what has not
-        reset(cast(asyncio.Transport, writer.transport))
+        reset_connection(cast(asyncio.Transport, writer.transport))
 
     async def test() -> None:
         async with running(await Peer(break_off).start(), admin=DOOR) as stand:
@@ -219,7 +223,7 @@
                 assert len((await read_answer(client))[1]) < 0  # not reached: it raises
             found = await stats(stand)
             assert (found["results.book.aborted"], found["outstanding"], found["forwards"]) == (1, 0, 1)
-            assert not stand.node.held and stand.node.body_budget.bodies == 0
+            assert not stand.node.held and stand.node.body_budget.body_count == 0
 
     run(test())
 
@@ -299,7 +303,7 @@
             assert (outcome.result, outcome.spent) == (Result.UNREACHABLE, True)
             await until(lambda: client.writer.transport.get_write_buffer_size() == 0)  # it is read to its end
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert stand.node.body_budget.bodies == 0
+            assert stand.node.body_budget.body_count == 0
 
     run(test())
 
@@ -351,7 +355,11 @@
             client.writer.transport.abort()
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(taker.ended.wait(), WAIT)
-            assert not stand.node.held and not stand.node.pool.attempts and stand.node.body_budget.bodies == 0
+            assert (
+                not stand.node.held
+                and not stand.node.pool.attempts
+                and stand.node.body_budget.body_count == 0
+            )
             server = stand.node.policy.servers[stable_id(b"s-1")]
             assert not any(health.fails for health in server.health)
             assert not server.open and not server.uploads and stand.node.policy.flying == 0
@@ -508,9 +516,9 @@
     body_budget = BodyBudget(1 << 20)
     shares = []
     for bodies in (0, 1, 16, 32, 1000):
-        body_budget.bodies = bodies
-        shares.append(body_budget.share)
-        assert len(body_budget.read_buffer()) == body_budget.share
+        body_budget.body_count = bodies
+        shares.append(body_budget.share_bytes)
+        assert len(body_budget.read_buffer()) == body_budget.share_bytes
     assert shares == [
         BUFFERED_BODY_BYTES,
         BUFFERED_BODY_BYTES,
@@ -534,16 +542,16 @@
             def held() -> int:
                 connections = stand.node.listener.connections
                 whole = sum(len(connection.body) for connection in connections)
-                return whole + sum(c.upload.size for c in connections if c.upload is not None)
+                return whole + sum(c.upload.buffered_bytes for c in connections if c.upload is not None)
 
-            await until(lambda: stand.node.body_budget.bodies == 60)
+            await until(lambda: stand.node.body_budget.body_count == 60)
             await asyncio.sleep(0.1)
-            assert held() < 4 << 20 and stand.node.body_budget.share < 20_000
+            assert held() < 4 << 20 and stand.node.body_budget.share_bytes < 20_000
             for sender in senders:
                 sender.writer.write(data[-1:])
             for sender in senders:
                 assert (await sender.answer())[0] in (200, 503)
-            assert stand.node.body_budget.bodies == 0
+            assert stand.node.body_budget.body_count == 0
 
     run(test())
 
@@ -581,6 +589,6 @@
             client.writer.transport.abort()
             await asyncio.wait_for(peer.ended.get(), WAIT)
             await until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
-            assert not stand.node.held and stand.node.body_budget.bodies == 0
+            assert not stand.node.held and stand.node.body_budget.body_count == 0
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -242,7 +242,7 @@
 def test_an_answer_that_its_client_reads_slowly_outlasts_the_end_of_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_close, "LINGER", 0.0)
+    monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.0)
     size = 1 << 20
 
     async def pour(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -8,7 +8,7 @@
 import pytest
 
 from flaxstep.proxy.config import read_log_level
-from flaxstep.proxy.event_log import event, text
+from flaxstep.proxy.event_log import format_value, log_event
 from tests.net import Peer, answer, request, running
 from tests.test_node import run
 
@@ -25,15 +25,15 @@
     ],
 )
 def test_a_value_is_one_word(value: object, written: str) -> None:
-    assert text(value) == written
+    assert format_value(value) == written
 
 
 def test_lines_about_single_events_are_written_only_when_asked_for(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "flaxstep.proxy.events")
-    event("attempt_sent", request=b"a1")
+    log_event("attempt_sent", request=b"a1")
     assert not caplog.records
     caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
-    event("attempt_sent", request=b"a1")
+    log_event("attempt_sent", request=b"a1")
     assert caplog.messages == ["event=attempt_sent request=a1"]
 
 
