--- a/flaxstep/proxy/client_connections.py
+++ b/flaxstep/proxy/client_connections.py
@@ -27,22 +27,26 @@
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Effect
 
-MAX_HEAD = 16384  # bytes of request line and headers
-MAX_WAITING = 16  # requests sent ahead on one connection, after which it is read no further
-REQUEST_TIME = 2.6  # s that a client may take to send one request; some take 2 s for the head
-PROVE_TIME = 2.6  # s from its opening in which a connection must bring a proper request; 3 s are owed at most
-# Of a body, for which a client gets more time; slow ones send twice as much.
+MAX_HEAD_BYTES = 16384  # of the request line and all headers
+MAX_PIPELINED_REQUESTS = 16  # queued on one connection; with more, reading from it pauses
+REQUEST_TIMEOUT_S = 2.6  # for a client to send one request; some clients take 2 s for the head alone
+# From the opening of a connection to its first valid request. A client must be given up after at most 3 s.
+FIRST_REQUEST_TIMEOUT_S = 2.6
+# A body that arrives at this rate extends the timeouts of its request; slow clients send twice as fast.
 MIN_UPLOAD_BYTES_PER_S = 32768
-BACKLOG = 4096  # connections that the kernel may queue; it takes off what is over its own limit
-STOPPED = 0.5  # s without a byte of its first request after which a connection makes room before idle ones
-LOOK = 0.1  # s between looks for connections that bring nothing
-FRESH = 0.3  # s from its opening in which a connection may bring its first request though the node drains
+MAX_ACCEPT_QUEUE = 4096  # the listen() backlog in connections; the kernel caps it at its own limit
+# Without a byte of its first request for this long, a connection is evicted before idle ones.
+FIRST_REQUEST_STALL_S = 0.5
+SWEEP_INTERVAL_S = 0.1  # between searches for connections that send no valid request
+# From the opening of a connection: during a drain it may still send its first request for this long.
+DRAIN_GRACE_FOR_NEW_S = 0.3
 HEALTH_PATH = b"/_health"
 
-_TIMEOUT = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
-_ABSOLUTE = re.compile(rb"https?://[^/?#]+", re.IGNORECASE)
-_DIGITS = re.compile(rb"\d{1,9}")
-_OWN = frozenset(  # headers that concern one connection only, or that each attempt writes anew
+_TIMEOUT_PATTERN = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
+_ABSOLUTE_URL_PREFIX = re.compile(rb"https?://[^/?#]+", re.IGNORECASE)
+_DIGITS_PATTERN = re.compile(rb"\d{1,9}")
+# Hop-by-hop headers, and headers that each attempt writes with values of its own.
+_HEADERS_NOT_FORWARDED = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"expect", b"content-length", b"request-timeout")
 )  # fmt: skip
@@ -56,9 +60,9 @@
 class BadRequest(Exception):
     """A request that can't be taken: the status that says why, and header lines that go with it."""
 
-    def __init__(self, status: int, extra: bytes = b"") -> None:
+    def __init__(self, status: int, extra_headers: bytes = b"") -> None:
         self.status = status
-        self.extra = extra
+        self.extra_headers = extra_headers
 
 
 @dataclass(slots=True)
@@ -69,11 +73,11 @@
     cls: int
     tenant: int
     key: int
-    sent: float  # as near as the node can tell
-    timeout: float  # ms from then until the client gives up
-    hint: float  # the client's guess at the work in ms, 0: none
-    repeat: bool  # marked as the client's retry
-    expects: bool = False  # the client waits for a go-ahead before it sends the body
+    sent_at_ms: float  # as near as the node can tell
+    timeout_ms: float  # ms from then until the client gives up
+    work_hint_ms: float  # the client's guess at the work in ms, 0: none
+    is_client_retry: bool  # marked as the client's retry
+    awaits_continue: bool = False  # the client waits for a go-ahead before it sends the body
 
 
 class HealthCheck:
@@ -100,7 +104,7 @@
     def client_gone(self, request_id: int) -> None:
         """The client has gone away."""
 
-    def pause_response(self, request_id: int, hold: bool) -> None:
+    def pause_response(self, request_id: int, pause: bool) -> None:
         """The client takes no more for now, or takes more again."""
 
 
@@ -112,35 +116,40 @@
         loop: asyncio.AbstractEventLoop,
         config: Config,
         handler: RequestHandler,
-        limit: int,
+        max_connections: int,
         body_budget: BodyBudget,
     ) -> None:
         self.loop = loop
         self.body_budget = body_budget
         self.config = config
         self.handler = handler
-        self.limit = limit
+        self.max_connections = max_connections
         self.connections: set[ClientConnection] = set()
-        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()  # shut, until they close too
-        self.paused: dict[int, ClientConnection] = {}  # by descriptor: those that are not read now
-        # Where each connection stands that serves nothing now, and since when, the longest first.
-        self.silent: OrderedDict[ClientConnection, float] = OrderedDict()  # has sent nothing
-        self.partial: OrderedDict[ClientConnection, float] = OrderedDict()  # is in its first request
+        # Connections closed on this side that wait for the client to close too. They still hold descriptors.
+        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.read_paused: dict[int, ClientConnection] = {}  # by descriptor
+        # Candidates for eviction, each with the loop time since which it is in that state, oldest first.
+        self.awaiting_first_byte: OrderedDict[ClientConnection, float] = OrderedDict()
+        self.receiving_first_request: OrderedDict[ClientConnection, float] = OrderedDict()
         self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # between requests
-        self.adopting: set[asyncio.Task[Any]] = set()  # of connections that came before the listener closed
-        self.unproven: OrderedDict[ClientConnection, float] = OrderedDict()  # no proper request yet: opened
+        # Connections that were in the kernel's queue when the listener closed.
+        self.accept_tasks: set[asyncio.Task[Any]] = set()
+        # Connections that have sent no valid request yet, with the loop time at which they opened.
+        self.awaiting_first_request: OrderedDict[ClientConnection, float] = OrderedDict()
 
     async def start(self) -> asyncio.Server:
-        self.socket = self.bind()
+        self.socket = self.bind_socket()
         try:
-            self.server = await self.loop.create_server(self.connection, sock=self.socket, backlog=BACKLOG)
+            self.server = await self.loop.create_server(
+                self.create_connection, sock=self.socket, backlog=MAX_ACCEPT_QUEUE
+            )
         except OSError:
             self.socket.close()
             raise
-        self.loop.call_later(LOOK, self.look)
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep_connections)
         return self.server
 
-    def bind(self) -> socket.socket:
+    def bind_socket(self) -> socket.socket:
         host, port = self.config.listen
         family, kind, protocol, _, address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
         bound = socket.socket(family, kind, protocol)
@@ -155,10 +164,10 @@
             raise
         return bound
 
-    def connection(self) -> ClientConnection:
+    def create_connection(self) -> ClientConnection:
         return ClientConnection(self)
 
-    def stop(self) -> None:
+    def stop_accepting(self) -> None:
         """No new connections from now on. Those that the kernel has queued would be reset: they are taken."""
         while True:
             try:
@@ -167,123 +176,142 @@
                 break
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            adopting = self.loop.create_task(self.loop.connect_accepted_socket(self.connection, accepted))
-            self.adopting.add(adopting)
-            adopting.add_done_callback(self.adopting.discard)
+            accept_task = self.loop.create_task(
+                self.loop.connect_accepted_socket(self.create_connection, accepted)
+            )
+            self.accept_tasks.add(accept_task)
+            accept_task.add_done_callback(self.accept_tasks.discard)
         self.server.close()
 
     @property
-    def occupied(self) -> bool:
+    def has_clients(self) -> bool:
         """Whether a client is here still, also one that is just being taken or has yet to close."""
-        return bool(self.connections or self.lingering or self.adopting)
+        return bool(self.connections or self.lingering or self.accept_tasks)
 
-    def set_limit(self, limit: int) -> None:
-        self.limit = limit
-        self.keep_to_limit(None)
+    def set_limit(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+        self.enforce_connection_limit(None)
 
-    def opened(self, client: ClientConnection) -> None:
+    def on_connection_opened(self, client: ClientConnection) -> None:
         log_event("client_connected", connection=client.descriptor)
         self.connections.add(client)
-        self.silent[client] = self.unproven[client] = self.loop.time()
-        self.keep_to_limit(client)
+        self.awaiting_first_byte[client] = self.awaiting_first_request[client] = self.loop.time()
+        self.enforce_connection_limit(client)
 
-    def keep_to_limit(self, newest: ClientConnection | None) -> None:
+    def enforce_connection_limit(self, newest: ClientConnection | None) -> None:
         """Who is told of its end still holds its descriptor: it makes room in the step after that."""
-        while len(self.connections) + len(self.lingering) > self.limit and self.make_room(newest):
+        while len(self.connections) + len(self.lingering) > self.max_connections and self.evict_connection(
+            newest
+        ):
             pass
 
-    def make_room(self, newest: ClientConnection | None) -> bool:
+    def evict_connection(self, newest: ClientConnection | None) -> bool:
         """One makes room: who was told of its end, who has brought nothing of use, else, as a close does no
         harm, who is idle."""
-        for shut in self.lingering:
-            if not shut.transport.get_write_buffer_size():
-                del self.lingering[shut]
-                shut.transport.abort()
+        for lingering in self.lingering:
+            if not lingering.transport.get_write_buffer_size():
+                del self.lingering[lingering]
+                lingering.transport.abort()
                 return True
-        stopped = next(iter(self.partial), None)
-        if stopped is not None and self.partial[stopped] > self.loop.time() - STOPPED:
-            stopped = None
-        ways = (
-            next(iter(self.silent), None),
-            stopped,
+        stalled = next(iter(self.receiving_first_request), None)
+        if (
+            stalled is not None
+            and self.receiving_first_request[stalled] > self.loop.time() - FIRST_REQUEST_STALL_S
+        ):
+            stalled = None
+        candidates = (
+            next(iter(self.awaiting_first_byte), None),
+            stalled,
             next(iter(self.idle), None),
-            next(iter(self.partial), None),
+            next(iter(self.receiving_first_request), None),
         )
-        for client in ways:
+        for client in candidates:
             if client is not None and client is not newest:
                 client.close("makes_room")
                 return True
         return False
 
-    def heard(self, client: ClientConnection) -> None:
+    def on_bytes_received(self, client: ClientConnection) -> None:
         """Bytes have come."""
-        if client in self.unproven:
-            self.silent.pop(client, None)
-            self.partial[client] = self.loop.time()
-            self.partial.move_to_end(client)
+        if client in self.awaiting_first_request:
+            self.awaiting_first_byte.pop(client, None)
+            self.receiving_first_request[client] = self.loop.time()
+            self.receiving_first_request.move_to_end(client)
 
-    def proven(self, client: ClientConnection) -> None:
-        self.unproven.pop(client, None)
-        self.partial.pop(client, None)
+    def on_valid_request(self, client: ClientConnection) -> None:
+        self.awaiting_first_request.pop(client, None)
+        self.receiving_first_request.pop(client, None)
 
-    def shut(self, client: ClientConnection) -> None:
+    def start_lingering(self, client: ClientConnection) -> None:
         """Its last answer is written: it counts until it is closed, and nothing more is taken on it."""
-        self.closed(client)
+        self.on_connection_closed(client)
         self.lingering[client] = None
 
-    def closed(self, client: ClientConnection) -> None:
+    def on_connection_closed(self, client: ClientConnection) -> None:
         self.connections.discard(client)
         self.lingering.pop(client, None)
-        self.left(client)
+        self.exclude_from_eviction(client)
 
-    def left(self, client: ClientConnection) -> None:
+    def exclude_from_eviction(self, client: ClientConnection) -> None:
         """It can make no room any more. Its descriptor counts until its transport closes, a turn later."""
-        for where in (self.silent, self.partial, self.idle, self.unproven):
-            where.pop(client, None)
-
-    def look_for_the_gone(self) -> None:
+        for group in (
+            self.awaiting_first_byte,
+            self.receiving_first_request,
+            self.idle,
+            self.awaiting_first_request,
+        ):
+            group.pop(client, None)
+
+    def detect_closed_while_paused(self) -> None:
         """A connection that is not read tells of its end only when asked."""
-        if not self.paused:
+        if not self.read_paused:
             return
-        asked = select.poll()
-        for descriptor in self.paused:
-            asked.register(descriptor, select.POLLRDHUP)
-        for descriptor, _ in asked.poll(0):
-            if (client := self.paused.get(descriptor)) is not None:  # one that goes may let another read on
-                client.gone()
-
-    def look(self) -> None:
+        poller = select.poll()
+        for descriptor in self.read_paused:
+            poller.register(descriptor, select.POLLRDHUP)
+        for descriptor, _ in poller.poll(0):
+            if (
+                client := self.read_paused.get(descriptor)
+            ) is not None:  # one that goes may let another read on
+                client.abandon_paused()
+
+    def sweep_connections(self) -> None:
         """Who connects and brings no proper request must not hold a descriptor."""
-        self.loop.call_later(LOOK, self.look)
-        self.look_for_the_gone()
-        before = self.loop.time() - PROVE_TIME
-        for client, opened in [item for item in self.unproven.items() if item[1] < before]:
-            client.give_up(before - opened)
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep_connections)
+        self.detect_closed_while_paused()
+        oldest_allowed = self.loop.time() - FIRST_REQUEST_TIMEOUT_S
+        for client, opened_at in [
+            entry for entry in self.awaiting_first_request.items() if entry[1] < oldest_allowed
+        ]:
+            client.on_first_request_timeout(oldest_allowed - opened_at)
         if self.handler.draining:
             self.close_idle()
 
     def close_idle(self) -> None:
         """A client that sees its connection close comes back elsewhere. One just opened may yet ask."""
-        fresh = self.loop.time() - FRESH
-        for client in [*self.idle, *(client for client, opened in self.silent.items() if opened < fresh)]:
+        opened_before = self.loop.time() - DRAIN_GRACE_FOR_NEW_S
+        for client in [
+            *self.idle,
+            *(client for client, opened_at in self.awaiting_first_byte.items() if opened_at < opened_before),
+        ]:
             client.close("draining")
 
-    def turn_away(self) -> None:
+    def reject_unfinished_requests(self) -> None:
         """Who has not sent its whole request by now is told that the node ends."""
         for client in list(self.connections):
-            if client.reading and not client.ended:
+            if client.receiving_request and not client.input_finished:
                 client.stop_reading(BadRequest(503))
-                client.next()
-            elif not client.busy:
+                client.serve_next_requests()
+            elif not client.serving_request:
                 client.close("stopping")
 
-    def waiting(self) -> int:
+    def count_queued_requests(self) -> int:
         """Requests that have come whole and wait behind others on their connections."""
-        items = [item for client in self.connections for item, _ in client.waiting]
-        requests = [item.message for item in items if isinstance(item, ClientRequest)]
+        items = [entry for client in self.connections for entry, _ in client.queued_requests]
+        requests = [entry.message for entry in items if isinstance(entry, ClientRequest)]
         return sum(message.upload is None or message.upload.complete for message in requests)
 
-    def check(
+    def validate_request(
         self, parser: httptools.HttpRequestParser, url: bytes, headers: Headers
     ) -> tuple[int, int, int]:
         """Class, tenant and key of a request, or BadRequest."""
@@ -298,9 +326,9 @@
         if parser.get_method() != method:
             raise BadRequest(405, b"Allow: %b\r\n" % method)
         tenant = self.config.tenants.get(headers.tenant or b"") if self.config.tenants else 0
-        if headers.bad or not headers.request_id or tenant is None:
+        if headers.malformed or not headers.request_id or tenant is None:
             raise BadRequest(400)
-        if effect is not Effect.SAFE and (headers.key is None) == (effect is Effect.KEYED):
+        if effect is not Effect.SAFE and (headers.idempotency_key is None) == (effect is Effect.KEYED):
             raise BadRequest(400)  # keyed with no key, or a key where a repeat can't be told
         key = stable_id(parts[-1]) if len(parts) > 2 and parts[-1] else 0
         return cls, tenant, key
@@ -310,50 +338,50 @@
     """The headers of one request: what the node reads of them, and the lines that go on."""
 
     __slots__ = (
-        "bad", "chunked", "expects", "hint", "key", "length", "lines", "repeat", "request_id", "size",
-        "tenant", "timeout", "whole",
+        "malformed", "chunked", "awaits_continue", "work_hint_ms", "idempotency_key", "content_length",
+        "forwarded_lines", "is_client_retry", "request_id", "size_bytes", "tenant", "timeout_ms", "complete",
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []
-        self.size = self.length = 0
-        self.bad = self.chunked = self.expects = self.whole = False
+        self.forwarded_lines: list[bytes] = []
+        self.size_bytes = self.content_length = 0
+        self.malformed = self.chunked = self.awaits_continue = self.complete = False
         self.request_id: bytes | None = None
         self.tenant: bytes | None = None
-        self.key: bytes | None = None
-        self.timeout: float | None = None
-        self.hint, self.repeat = 0.0, False
+        self.idempotency_key: bytes | None = None
+        self.timeout_ms: float | None = None
+        self.work_hint_ms, self.is_client_retry = 0.0, False
 
     def add(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
         if lower == b"request-id":
-            self.bad = self.bad or self.request_id is not None
+            self.malformed = self.malformed or self.request_id is not None
             self.request_id = value
         elif lower == b"tenant":
-            self.bad = self.bad or self.tenant is not None
+            self.malformed = self.malformed or self.tenant is not None
             self.tenant = value
         elif lower == b"idempotency-key":
-            self.bad = self.bad or self.key is not None or not value
-            self.key = value
+            self.malformed = self.malformed or self.idempotency_key is not None or not value
+            self.idempotency_key = value
         elif lower == b"request-timeout":
-            match = _TIMEOUT.fullmatch(value)
-            self.bad = self.bad or self.timeout is not None or match is None
+            match = _TIMEOUT_PATTERN.fullmatch(value)
+            self.malformed = self.malformed or self.timeout_ms is not None or match is None
             if match is not None:
-                self.timeout = float(match[1]) / (1 if match[2] == b"m" else 1000)
+                self.timeout_ms = float(match[1]) / (1 if match[2] == b"m" else 1000)
         elif lower == b"content-length":
-            self.length = int(value)  # the parser has refused all but digits
+            self.content_length = int(value)  # the parser has refused all but digits
         elif lower == b"transfer-encoding":
             if value.lower() != b"chunked":  # no other coding is undone here
                 raise BadRequest(501)
             self.chunked = True
         elif lower == b"work-hint":
-            self.hint = int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0  # a guess may be left out
+            self.work_hint_ms = int(value) / 1000 if _DIGITS_PATTERN.fullmatch(value) else 0.0  # optional
         elif lower == b"client-retry":
-            self.repeat = value == b"1"
+            self.is_client_retry = value == b"1"
         elif lower == b"expect":
-            self.expects = value.lower() == b"100-continue"
-        if lower not in _OWN:
-            self.lines.append(b"%b: %b\r\n" % (name, value))
+            self.awaits_continue = value.lower() == b"100-continue"
+        if lower not in _HEADERS_NOT_FORWARDED:
+            self.forwarded_lines.append(b"%b: %b\r\n" % (name, value))
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -364,79 +392,80 @@
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
         self.parser = httptools.HttpRequestParser(self)
-        # What has come and has not had its turn, and whether to keep the connection alive after it.
-        self.waiting: deque[tuple[ClientRequest | BadRequest | HealthCheck, bool]] = deque()
-        self.request_id = 0  # of the request that is being served; 0: none
-        self.busy = self.advancing = False
-        self.keep = True  # the connection, after the answer under way
-        self.ended = False  # nothing further is read, or the last answer has been written
-        self.shut = False  # no answer can go out any more
-        self.crowded = self.held = False  # why it is read no further: requests wait, a server takes no more
-        self.reading = False  # a request has come in part
-        self.timer: asyncio.TimerHandle | None = None  # runs while a request is on its way in
-        self.begun = 0.0  # when it began, later by the time for which it was held
-        self.held_at = 0.0
+        # Requests that wait for their turn, each with whether to keep the connection open after its response.
+        self.queued_requests: deque[tuple[ClientRequest | BadRequest | HealthCheck, bool]] = deque()
+        self.request_id = 0  # the node's number of the request that is being served; 0: none
+        self.serving_request = self.serving_queue = False
+        self.keep_alive = True  # after the current response
+        self.input_finished = False  # no further request is read, or the last response has been written
+        self.output_finished = False  # no further response can be sent
+        # Why reading is paused: enough requests are queued, or no server reads the body as fast.
+        self.paused_for_queue = self.paused_for_upload = False
+        self.receiving_request = False  # a request has arrived in part
+        self.request_timer: asyncio.TimerHandle | None = None  # runs while a request arrives
+        self.request_started_at = 0.0  # loop time of its first byte, moved on by the time of upload pauses
+        self.upload_paused_at = 0.0  # loop time
         self.url = b""
         self.headers = Headers()
         self.body = bytearray()
-        self.came = 0  # bytes of the body
-        self.counted = False  # among the bodies in hand
-        self.upload: Upload | None = None  # what the body goes to where it is not held whole
-        self.uploader = False  # the request being served is the one that is being uploaded
-        self.chunks = False  # the answer under way goes out in chunks
-        self.answering = False  # a part of it has gone out
-        self.unread = 0  # bytes since the last whole head
+        self.body_bytes_received = 0
+        self.counted_in_budget = False  # the body that arrives is one of BodyBudget.body_count
+        self.upload: Upload | None = None  # forwards the body that arrives, unless it is buffered whole
+        self.serving_upload = False  # the request that is being served still uploads its body
+        self.response_chunked = False  # the current response is sent with chunked coding
+        self.response_streaming = False  # a part of the current response has been sent
+        self.bytes_since_request = 0  # received since the end of the last complete request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
         self.descriptor: int = transport.get_extra_info("socket").fileno()
-        self.listener.opened(self)
+        self.listener.on_connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.closed(self)
-        self.leave()
+        self.listener.on_connection_closed(self)
+        self.abandon()
 
     def eof_received(self) -> None:
         """The client has closed, so it has gone and waits for no answer. The transport closes too."""
-        self.leave()
+        self.abandon()
 
-    def gone(self) -> None:
+    def abandon_paused(self) -> None:
         """The same, seen while nothing is read."""
-        self.leave()
+        self.abandon()
         self.transport.abort()
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Nothing more comes or goes."""
-        if not self.shut:
+        if not self.output_finished:
             log_event("client_left", connection=self.descriptor, request=self.request_id)
-        self.ended = self.shut = True
-        self.listener.left(self)
-        self.listener.paused.pop(self.descriptor, None)
-        self.waiting.clear()
-        self.withdraw()
-        self.stop_body()
-
-    def withdraw(self) -> None:
+        self.input_finished = self.output_finished = True
+        self.listener.exclude_from_eviction(self)
+        self.listener.read_paused.pop(self.descriptor, None)
+        self.queued_requests.clear()
+        self.withdraw_request()
+        self.stop_request()
+
+    def withdraw_request(self) -> None:
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
             self.listener.handler.client_gone(request_id)
 
     def close(self, cause: str) -> None:
         """End it between requests, or in one that will never be whole."""
-        self.stop_body()
-        self.hang_up(cause)
+        self.stop_request()
+        self.half_close(cause)
 
-    def hang_up(self, cause: str) -> None:
+    def half_close(self, cause: str) -> None:
         """No answer goes out from here on. What still comes can get none, so none of it is taken."""
-        if self.shut:
+        if self.output_finished:
             return
         log_event("client_closed", connection=self.descriptor, cause=cause)
-        self.ended = self.shut = True
-        self.waiting.clear()
-        self.crowded = self.held = False
-        self.read_or_not()
-        self.listener.shut(self)
+        self.input_finished = self.output_finished = True
+        self.queued_requests.clear()
+        self.paused_for_queue = self.paused_for_upload = False
+        self.update_reading()
+        self.listener.start_lingering(self)
         close_after_response(self.listener.loop, self.transport)
 
     # Requests in.
@@ -445,90 +474,90 @@
         return self.listener.body_budget.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.shut or (self.ended and not self.reading):
+        if self.output_finished or (self.input_finished and not self.receiving_request):
             return
-        self.unread += nbytes
-        self.listener.heard(self)
+        self.bytes_since_request += nbytes
+        self.listener.on_bytes_received(self)
         try:
             self.parser.feed_data(self.listener.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserUpgrade:
             # No upgrade is offered: the request is served as any other, and the last on its connection.
-            self.ended = True
-            if self.waiting:
-                self.waiting[-1] = (self.waiting[-1][0], False)
+            self.input_finished = True
+            if self.queued_requests:
+                self.queued_requests[-1] = (self.queued_requests[-1][0], False)
             else:
-                self.keep = False
+                self.keep_alive = False
         except httptools.HttpParserError as error:
             cause = error.__context__
             self.stop_reading(cause if isinstance(cause, BadRequest) else BadRequest(400))
         else:
-            if self.unread > MAX_HEAD and not self.headers.whole:
+            if self.bytes_since_request > MAX_HEAD_BYTES and not self.headers.complete:
                 self.stop_reading(BadRequest(431))
-        if not self.crowded and self.enough():
-            self.crowded = True
-            self.read_or_not()
-        self.next()
+        if not self.paused_for_queue and self.queue_is_full():
+            self.paused_for_queue = True
+            self.update_reading()
+        self.serve_next_requests()
 
-    def enough(self) -> bool:
+    def queue_is_full(self) -> bool:
         """Whether as much waits here as may."""
-        waiting = self.waiting
-        if len(waiting) < 2:
+        queued = self.queued_requests
+        if len(queued) < 2:
             return False
-        bodies = sum(len(item.message.body) for item, _ in waiting if isinstance(item, ClientRequest))
-        return len(waiting) > MAX_WAITING or bodies > self.listener.body_budget.share_bytes
+        bodies = sum(len(item.message.body) for item, _ in queued if isinstance(item, ClientRequest))
+        return len(queued) > MAX_PIPELINED_REQUESTS or bodies > self.listener.body_budget.share_bytes
 
-    def read_or_not(self) -> None:
+    def update_reading(self) -> None:
         if self.transport.is_closing():
             return
-        if self.crowded or self.held:
-            self.listener.paused[self.descriptor] = self
+        if self.paused_for_queue or self.paused_for_upload:
+            self.listener.read_paused[self.descriptor] = self
             self.transport.pause_reading()
         else:
-            self.listener.paused.pop(self.descriptor, None)
+            self.listener.read_paused.pop(self.descriptor, None)
             self.transport.resume_reading()
 
-    def pause_upload(self, hold: bool) -> None:
-        if hold == self.held:
+    def pause_upload(self, pause: bool) -> None:
+        if pause == self.paused_for_upload:
             return
-        self.held = hold
+        self.paused_for_upload = pause
         now = self.listener.loop.time()
-        if hold:
-            self.held_at = now
+        if pause:
+            self.upload_paused_at = now
         else:
-            self.begun += now - self.held_at  # the client could send nothing meanwhile
-        self.read_or_not()
+            self.request_started_at += now - self.upload_paused_at  # the client could send nothing meanwhile
+        self.update_reading()
 
     def stop_reading(self, error: BadRequest) -> None:
         """Nothing further on this connection can be told apart: answer what came before, then this."""
         self.listener.idle.pop(self, None)
         upload = self.upload
-        if self.uploader:
-            self.withdraw()  # first: a body that breaks off is no failure of a server
-        self.stop_body()
-        if self.ended:  # what is wrong came after the last answer
-            self.hang_up("malformed_after_last_answer")
+        if self.serving_upload:
+            self.withdraw_request()  # first: a body that breaks off is no failure of a server
+        self.stop_request()
+        if self.input_finished:  # what is wrong came after the last answer
+            self.half_close("malformed_after_last_answer")
             return
-        self.ended = True
+        self.input_finished = True
         if upload is not None and upload.response_sent:
-            self.end()
-        elif self.uploader:  # the request under way is the one that is broken
-            self.keep = False
-            if self.answering:
+            self.finish_connection()
+        elif self.serving_upload:  # the request under way is the one that is broken
+            self.keep_alive = False
+            if self.response_streaming:
                 self.abort_response()
             else:
-                self.answer(error.status, extra=error.extra)
+                self.send_response(error.status, extra_headers=error.extra_headers)
         else:
             if upload is not None:
-                self.waiting.pop()  # it has not had its turn
-            self.waiting.append((error, False))
+                self.queued_requests.pop()  # it has not had its turn
+            self.queued_requests.append((error, False))
 
-    def stop_body(self) -> None:
+    def stop_request(self) -> None:
         """No more of a request's body comes, whole or not."""
-        self.reading = False
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.counted:
-            self.counted = False
+        self.receiving_request = False
+        if self.request_timer is not None:
+            self.request_timer.cancel()
+        if self.counted_in_budget:
+            self.counted_in_budget = False
             self.listener.body_budget.body_count -= 1
         if self.upload is not None:
             upload, self.upload = self.upload, None
@@ -538,135 +567,142 @@
         self.listener.idle.pop(self, None)
         self.headers = Headers()
         self.body = bytearray()
-        self.came = 0
+        self.body_bytes_received = 0
         self.url = b""
-        self.reading = True
-        self.begun = self.listener.loop.time()
-        self.timer = self.listener.loop.call_later(REQUEST_TIME, self.too_slow)
+        self.receiving_request = True
+        self.request_started_at = self.listener.loop.time()
+        self.request_timer = self.listener.loop.call_later(REQUEST_TIMEOUT_S, self.on_request_timeout)
 
-    def too_slow(self) -> None:
+    def on_request_timeout(self) -> None:
         """A client that never finishes its request must not hold a descriptor for ever."""
         loop = self.listener.loop
-        left = self.begun + REQUEST_TIME + self.came / MIN_UPLOAD_BYTES_PER_S - loop.time()
-        if self.held or left > 0:
-            self.timer = loop.call_later(max(left, LOOK), self.too_slow)
+        time_left_s = (
+            self.request_started_at
+            + REQUEST_TIMEOUT_S
+            + self.body_bytes_received / MIN_UPLOAD_BYTES_PER_S
+            - loop.time()
+        )
+        if self.paused_for_upload or time_left_s > 0:
+            self.request_timer = loop.call_later(max(time_left_s, SWEEP_INTERVAL_S), self.on_request_timeout)
             return
         self.stop_reading(BadRequest(408))
-        self.next()
+        self.serve_next_requests()
 
-    def give_up(self, late: float) -> None:
+    def on_first_request_timeout(self, overdue_s: float) -> None:
         """No proper request has come in time, unless its body is on its way as fast as need be."""
-        if self.headers.whole and late < self.came / MIN_UPLOAD_BYTES_PER_S:
+        if self.headers.complete and overdue_s < self.body_bytes_received / MIN_UPLOAD_BYTES_PER_S:
             return
-        if self.reading and not self.ended:
+        if self.receiving_request and not self.input_finished:
             self.stop_reading(BadRequest(408))
-            self.next()
+            self.serve_next_requests()
         else:
             self.close("no_request_in_time")
 
     def on_url(self, url: bytes) -> None:
         self.url += url
-        if len(self.url) > MAX_HEAD:
+        if len(self.url) > MAX_HEAD_BYTES:
             raise BadRequest(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         headers = self.headers
-        headers.size += len(name) + len(value) + 4
-        if headers.size > MAX_HEAD:
+        headers.size_bytes += len(name) + len(value) + 4
+        if headers.size_bytes > MAX_HEAD_BYTES:
             raise BadRequest(431)
-        if not headers.whole:  # else it is a trailer: of those none goes on, and none is believed
+        if not headers.complete:  # else it is a trailer: of those none goes on, and none is believed
             headers.add(name, value.strip(b" \t"))  # white space round a value is no part of it
 
     def on_headers_complete(self) -> None:
         headers = self.headers
-        headers.whole = True
+        headers.complete = True
         version = self.parser.get_http_version()
         if version not in ("1.1", "1.0"):
             raise BadRequest(505)
         if headers.chunked and version == "1.0":
             raise BadRequest(400)  # who sent it can't have meant it
-        if headers.length > MAX_REQUEST_BODY_BYTES:
+        if headers.content_length > MAX_REQUEST_BODY_BYTES:
             raise BadRequest(413)  # before the body has come
-        if headers.length > BUFFERED_BODY_BYTES:
-            self.start_upload(headers.length)
-        elif headers.expects and not self.busy and not self.waiting:
-            self.go_ahead()
+        if headers.content_length > BUFFERED_BODY_BYTES:
+            self.start_upload(headers.content_length)
+        elif headers.awaits_continue and not self.serving_request and not self.queued_requests:
+            self.send_continue()
 
-    def go_ahead(self) -> None:
-        self.headers.expects = False
+    def send_continue(self) -> None:
+        self.headers.awaits_continue = False
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def start_upload(self, length: int | None) -> None:
         """The body is more than is held whole: the request goes on its way while it still comes."""
-        request = self.whole_request()
+        request = self.build_request()
         if isinstance(request, HealthCheck):
             raise BadRequest(400)
-        self.count_body()
+        self.count_in_budget()
         self.upload = Upload(self, self.listener.body_budget, length, bytes(self.body))
         self.body = bytearray()
         request.message.upload, request.message.body = self.upload, b""
-        request.expects = self.headers.expects
-        self.waiting.append((request, self.parser.should_keep_alive()))
+        request.awaits_continue = self.headers.awaits_continue
+        self.queued_requests.append((request, self.parser.should_keep_alive()))
 
-    def count_body(self) -> None:
-        if not self.counted:
-            self.counted = True
+    def count_in_budget(self) -> None:
+        if not self.counted_in_budget:
+            self.counted_in_budget = True
             self.listener.body_budget.body_count += 1
 
     def on_body(self, body: bytes) -> None:
-        self.came += len(body)
-        if self.came > MAX_REQUEST_BODY_BYTES:
+        self.body_bytes_received += len(body)
+        if self.body_bytes_received > MAX_REQUEST_BODY_BYTES:
             raise BadRequest(413)
         if self.upload is not None:
             self.upload.feed(body)
             return
         self.body += body
         if len(self.body) > MIN_BODY_SHARE_BYTES:
-            self.count_body()
+            self.count_in_budget()
         if len(self.body) > self.listener.body_budget.share_bytes:
             # Where many bodies are in hand, less of each is held, also of those with a length.
-            self.start_upload(None if self.headers.chunked else self.headers.length)
+            self.start_upload(None if self.headers.chunked else self.headers.content_length)
 
     def on_message_complete(self) -> None:
         upload, self.upload = self.upload, None
-        self.stop_body()
-        self.unread = 0
+        self.stop_request()
+        self.bytes_since_request = 0
         if upload is not None:
-            self.end_upload(upload)
+            self.finish_upload(upload)
             return
-        keep = self.parser.should_keep_alive()
+        keep_alive = self.parser.should_keep_alive()
         try:
-            self.waiting.append((self.whole_request(), keep))
+            self.queued_requests.append((self.build_request(), keep_alive))
         except BadRequest as error:
-            self.waiting.append((error, keep))
+            self.queued_requests.append((error, keep_alive))
 
-    def end_upload(self, upload: Upload) -> None:
+    def finish_upload(self, upload: Upload) -> None:
         upload.finish()
         self.pause_upload(False)
         if upload.response_sent:
-            if self.ended:
-                self.hang_up("last_answer")
-            elif not self.busy and not self.waiting:
-                self.rest()
-        elif self.uploader:
-            self.uploader = False
+            if self.input_finished:
+                self.half_close("last_answer")
+            elif not self.serving_request and not self.queued_requests:
+                self.enter_idle()
+        elif self.serving_upload:
+            self.serving_upload = False
             if self.request_id:
                 self.listener.handler.upload_complete(self, self.request_id)
 
-    def whole_request(self) -> ClientRequest | HealthCheck:
+    def build_request(self) -> ClientRequest | HealthCheck:
         headers, url = self.headers, self.url
-        if not url.startswith(b"/") and (form := _ABSOLUTE.match(url)):
-            url = b"/" + url[form.end() :].removeprefix(b"/")  # as a proxy is asked; the server gets the path
+        if not url.startswith(b"/") and (prefix := _ABSOLUTE_URL_PREFIX.match(url)):
+            url = b"/" + url[prefix.end() :].removeprefix(
+                b"/"
+            )  # as a proxy is asked; the server gets the path
         if url == HEALTH_PATH:
             if self.parser.get_method() != b"GET":
                 raise BadRequest(405, b"Allow: GET\r\n")
             return HealthCheck()
-        cls, tenant, key = self.listener.check(self.parser, url, headers)
+        cls, tenant, key = self.listener.validate_request(self.parser, url, headers)
         method = self.parser.get_method()
-        if headers.timeout is None or ((self.body or headers.length) and method == b"GET"):
+        if headers.timeout_ms is None or ((self.body or headers.content_length) and method == b"GET"):
             raise BadRequest(400)
-        head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
-        self.listener.proven(self)
+        head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.forwarded_lines))
+        self.listener.on_valid_request(self)
         return ClientRequest(
             message=ForwardedRequest(
                 head, bytes(self.body), method == b"POST", request_id=headers.request_id or b""
@@ -674,138 +710,146 @@
             cls=cls,
             tenant=tenant,
             key=key,
-            sent=now_ms(),
-            timeout=headers.timeout,
-            hint=headers.hint,
-            repeat=headers.repeat,
+            sent_at_ms=now_ms(),
+            timeout_ms=headers.timeout_ms,
+            work_hint_ms=headers.work_hint_ms,
+            is_client_retry=headers.is_client_retry,
         )
 
-    def next(self) -> None:
+    def serve_next_requests(self) -> None:
         """Begin with the next request that has come in whole, or that is more than can be held."""
-        if self.advancing:  # an answer given at once comes back here: a loop, or many would nest too deep
+        if self.serving_queue:  # an answer given at once comes back here: a loop, or many would nest too deep
             return
-        self.advancing = True
+        self.serving_queue = True
         handler = self.listener.handler
-        while self.waiting and not self.busy and not self.shut:
-            item, self.keep = self.waiting.popleft()
-            self.busy = True
+        while self.queued_requests and not self.serving_request and not self.output_finished:
+            item, self.keep_alive = self.queued_requests.popleft()
+            self.serving_request = True
             if isinstance(item, ClientRequest):
-                self.take(item)
+                self.serve_request(item)
             elif isinstance(item, BadRequest):
-                self.answer(item.status, extra=item.extra)
+                self.send_response(item.status, extra_headers=item.extra_headers)
             elif handler.ready:
-                self.answer(200, b"ok\n", b"text/plain")
+                self.send_response(200, b"ok\n", b"text/plain")
             else:
-                self.answer(503)
-        self.advancing = False
-        if self.headers.expects and self.reading and self.upload is None and not self.busy and not self.ended:
-            self.go_ahead()  # its turn has come
-
-    def take(self, request: ClientRequest) -> None:
+                self.send_response(503)
+        self.serving_queue = False
+        if (
+            self.headers.awaits_continue
+            and self.receiving_request
+            and self.upload is None
+            and not self.serving_request
+            and not self.input_finished
+        ):
+            self.send_continue()  # its turn has come
+
+    def serve_request(self, request: ClientRequest) -> None:
         upload = request.message.upload
-        self.uploader = upload is not None and not upload.complete
+        self.serving_upload = upload is not None and not upload.complete
         self.listener.handler.accept_request(self, request)
-        if self.uploader and request.expects and self.busy:
-            self.go_ahead()
+        if self.serving_upload and request.awaits_continue and self.serving_request:
+            self.send_continue()
 
     # Answers out.
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"", extra: bytes = b"") -> None:
+    def send_response(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", extra_headers: bytes = b""
+    ) -> None:
         """Write the final answer to the request under way."""
         self.request_id = 0
-        keep = self.keep_after()
-        lines = b"%b%d\r\n%b" % (STATUS_LINES[status], len(body), extra)
+        keep_alive = self.keep_alive_after_response()
+        lines = b"%b%d\r\n%b" % (STATUS_LINES[status], len(body), extra_headers)
         if content_type:
             lines += b"Content-Type: %b\r\n" % content_type
-        self.transport.write(b"%b%b\r\n%b" % (lines, b"" if keep else b"Connection: close\r\n", body))
-        self.answered(keep)
+        self.transport.write(b"%b%b\r\n%b" % (lines, b"" if keep_alive else b"Connection: close\r\n", body))
+        self.on_response_sent(keep_alive)
 
-    def keep_after(self) -> bool:
+    def keep_alive_after_response(self) -> bool:
         """Whether the connection outlives the answer under way."""
-        if self.uploader and self.headers.expects:
+        if self.serving_upload and self.headers.awaits_continue:
             return False  # never told to go ahead: nobody can tell whether the body will come
         # A node that drains still owes an answer to what it has read, also in part: the connection ends with
         # the last.
-        further = bool(self.waiting) or (self.reading and not self.uploader)
-        return self.keep and (further or not self.listener.handler.draining)
+        further = bool(self.queued_requests) or (self.receiving_request and not self.serving_upload)
+        return self.keep_alive and (further or not self.listener.handler.draining)
 
     def begin_response(self, length: int | None, content_type: bytes) -> None:
         """The answer goes out as it comes."""
         if length is None and self.parser.get_http_version() == "1.0":
-            self.keep = False  # it ends with the connection
+            self.keep_alive = False  # it ends with the connection
         elif length is None:
-            self.chunks = True
-        self.answering = True
-        self.keep = self.keep_after()
+            self.response_chunked = True
+        self.response_streaming = True
+        self.keep_alive = self.keep_alive_after_response()
         lines = b"HTTP/1.1 200 OK\r\n"
         if length is not None:
             lines += b"Content-Length: %d\r\n" % length
-        elif self.chunks:
+        elif self.response_chunked:
             lines += b"Transfer-Encoding: chunked\r\n"
         if content_type:
             lines += b"Content-Type: %b\r\n" % content_type
         self.transport.set_write_buffer_limits(0)  # nothing is held here: what the kernel does not take waits
-        self.transport.write(b"%b%b\r\n" % (lines, b"" if self.keep else b"Connection: close\r\n"))
+        self.transport.write(b"%b%b\r\n" % (lines, b"" if self.keep_alive else b"Connection: close\r\n"))
 
     def write_response_chunk(self, data: bytes) -> None:
-        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
+        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.response_chunked else data)
 
     def end_response(self) -> None:
         self.request_id = 0
-        if self.chunks:
+        if self.response_chunked:
             self.transport.write(b"0\r\n\r\n")
-        self.chunks = self.answering = False
+        self.response_chunked = self.response_streaming = False
         self.transport.set_write_buffer_limits()
         # A drain may have begun meanwhile; nobody was told, but between requests a close is harmless.
-        self.answered(self.keep)
+        self.on_response_sent(self.keep_alive)
 
     def abort_response(self) -> None:
         """The rest of the answer never comes, and the client has to see that."""
         self.request_id = 0
-        self.ended = True
+        self.input_finished = True
         log_event("client_reset", connection=self.descriptor, cause="answer_broke_off")
         reset_connection(self.transport)
 
     def pause_writing(self) -> None:
-        if self.answering:
+        if self.response_streaming:
             self.listener.handler.pause_response(self.request_id, True)
 
     def resume_writing(self) -> None:
-        if self.answering:
+        if self.response_streaming:
             self.listener.handler.pause_response(self.request_id, False)
 
-    def answered(self, keep: bool) -> None:
+    def on_response_sent(self, keep_alive: bool) -> None:
         """The final answer has been written."""
-        self.busy = False
-        if self.uploader and self.upload is not None:
+        self.serving_request = False
+        if self.serving_upload and self.upload is not None:
             self.upload.discard_rest()
-        self.uploader = False
-        if not keep:
-            self.end()
+        self.serving_upload = False
+        if not keep_alive:
+            self.finish_connection()
             return
-        self.next()
-        if self.waiting or self.busy:
+        self.serve_next_requests()
+        if self.queued_requests or self.serving_request:
             return
-        if self.crowded:
-            self.crowded = False
-            self.read_or_not()
-        if not self.reading and not self.ended:
-            self.rest()
+        if self.paused_for_queue:
+            self.paused_for_queue = False
+            self.update_reading()
+        if not self.receiving_request and not self.input_finished:
+            self.enter_idle()
 
-    def rest(self) -> None:
+    def enter_idle(self) -> None:
         """Nothing is under way: the connection is idle."""
-        self.listener.partial.pop(self, None)
+        self.listener.receiving_first_request.pop(self, None)
         if self.listener.handler.draining:
             self.close("draining")
         else:
             self.listener.idle[self] = self.listener.loop.time()
 
-    def end(self) -> None:
+    def finish_connection(self) -> None:
         """After the last answer."""
-        self.ended = True
-        self.waiting.clear()
-        self.crowded = False
-        self.read_or_not()
+        self.input_finished = True
+        self.queued_requests.clear()
+        self.paused_for_queue = False
+        self.update_reading()
         if self.upload is None:  # else once what still comes of a body is read, so that the answer is seen
-            self.stop_body()
-            self.hang_up("last_answer")
+            self.stop_request()
+            self.half_close("last_answer")
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -212,7 +212,7 @@
         if held is not None:
             log_event("answered", request=held.message.request_id, status=status)
             self.figures.ended(held.cls, status)
-            held.client.answer(status, extra=extra)
+            held.client.send_response(status, extra_headers=extra)
 
     def release(self, request_id: int) -> PendingRequest | None:
         """Nothing is owed any more, and no connection that still comes up carries the request."""
@@ -242,11 +242,11 @@
         request_id = client.request_id = self.last_id
         upload = request.message.upload
         uploading = upload is not None and not upload.complete
-        due = max(request.sent, now_ms() if upload is not None else 0.0) + request.timeout - MARGIN
+        due = max(request.sent_at_ms, now_ms() if upload is not None else 0.0) + request.timeout_ms - MARGIN
         if uploading:
             due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
         self.held[request_id] = PendingRequest(
-            client, request.message, request.cls, due, request.timeout, uploading
+            client, request.message, request.cls, due, request.timeout_ms, uploading
         )
         cls, key, tenant = request.cls, request.key, request.tenant
         log_event(
@@ -256,7 +256,11 @@
             cls=cls,
             ms_left=due - now_ms(),
         )
-        self.tell(Request(request_id, cls, due, key, tenant, request.hint, request.repeat, uploading))
+        self.tell(
+            Request(
+                request_id, cls, due, key, tenant, request.work_hint_ms, request.is_client_retry, uploading
+            )
+        )
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
         held = self.held.get(request_id)
@@ -296,7 +300,7 @@
             del self.held[request_id]
             log_event("answered", request=held.message.request_id, status=200)
             self.figures.ended(held.cls, 200)
-            held.client.answer(200, answer.body, answer.content_type)
+            held.client.send_response(200, answer.body, answer.content_type)
         over, elapsed = request_id not in self.held, now_ms() - attempt.started
         log_event(
             "attempt_ended",
@@ -430,7 +434,8 @@
     def report(self, _: bytes) -> Reply:
         avoided = self.listed & self.policy.avoided(now_ms())
         gauges = {
-            "outstanding": sum(not held.uploading for held in self.held.values()) + self.listener.waiting(),
+            "outstanding": sum(not held.uploading for held in self.held.values())
+            + self.listener.count_queued_requests(),
             "discovered": len(self.listed),
             "ejected": len(avoided),
         }
@@ -586,17 +591,17 @@
         if self.server is not None:
             self.listener.close_idle()
             await asyncio.sleep(ACCEPT_FOR)
-            self.listener.stop()
+            self.listener.stop_accepting()
         # Whoever has not sent its whole request by then can't have its time before SIGKILL may come.
         await self.emptied(begun + TAKE_FOR)
-        self.listener.turn_away()
+        self.listener.reject_unfinished_requests()
         await self.emptied(begun + DRAIN_MOST)
         self.close()  # the list is followed to the end: what is held may still be sent again
         log.info("stopped")
 
     async def emptied(self, until: float) -> None:
         """Wait until all clients have their answers and have closed, or until then by the loop's clock."""
-        while self.listener.occupied and self.loop.time() < until:
+        while self.listener.has_clients and self.loop.time() < until:
             self.listener.close_idle()
             await asyncio.sleep(DRAIN_LOOK)
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -114,7 +114,7 @@
 
 
 def test_quiesce_empties_the_node_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "FRESH", 0.1)
+    monkeypatch.setattr(client_connections, "DRAIN_GRACE_FOR_NEW_S", 0.1)
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -385,7 +385,7 @@
 
 
 def test_a_body_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "REQUEST_TIME", 0.4)
+    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.4)
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 400_000)
 
     async def test() -> None:
@@ -408,7 +408,7 @@
 def test_a_first_request_has_its_time_by_what_comes_of_its_body(
     monkeypatch: pytest.MonkeyPatch, stalls: bool
 ) -> None:
-    for name in ("REQUEST_TIME", "PROVE_TIME"):
+    for name in ("REQUEST_TIMEOUT_S", "FIRST_REQUEST_TIMEOUT_S"):
         monkeypatch.setattr(client_connections, name, 0.4)
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 20_000)
 
@@ -439,7 +439,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             assert len(stand.node.held) == 1
             (connection,) = stand.node.listener.connections
-            await until(lambda: connection.held)  # read no further meanwhile
+            await until(lambda: connection.paused_for_upload)  # read no further meanwhile
             release.set()
             for _ in range(3):
                 assert (await client.answer())[0] == 200
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -210,9 +210,9 @@
         async with running(peer) as stand:
             client = Raw(stand)
             client.send(data)
-            await until(lambda: bool(stand.node.listener.partial))
+            await until(lambda: bool(stand.node.listener.receiving_first_request))
             stand.node.stopping = True
-            stand.node.listener.turn_away()
+            stand.node.listener.reject_unfinished_requests()
             told = await client.rest()
             assert told.startswith(b"HTTP/1.1 503") and b"Connection: close" in told
             assert not stand.node.held and peer.requests.empty()
@@ -279,10 +279,10 @@
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
             client = Raw(stand)
-            client.send(request() * (2 * client_connections.MAX_WAITING))
+            client.send(request() * (2 * client_connections.MAX_PIPELINED_REQUESTS))
             await asyncio.wait_for(peer.requests.get(), WAIT)
             (connection,) = stand.node.listener.connections
-            assert connection.crowded
+            assert connection.paused_for_queue
             leave(client)
             await stand.event(Withdrawn)
             await until(lambda: not stand.node.listener.connections)
@@ -312,7 +312,9 @@
             await asyncio.wait_for(taken.wait(), WAIT)
             (connection,) = stand.node.listener.connections
             async with asyncio.timeout(WAIT):
-                while not connection.held:  # no more: what the client's own system holds would hide its end
+                while (
+                    not connection.paused_for_upload
+                ):  # no more: what the client's own system holds would hide its end
                     client.send(body[:65536])
                     await asyncio.sleep(0.001)
             leave(client)
@@ -719,15 +721,15 @@
 def test_a_client_that_leaves_just_as_room_is_made_holds_up_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its transport closes a turn later; until then it was the longest idle one, closed again and again.
     looks, limit = 0, 2
-    make_room = client_connections.Listener.make_room
-    leave = client_connections.ClientConnection.leave
+    evict_connection = client_connections.Listener.evict_connection
+    leave = client_connections.ClientConnection.abandon
 
     def count(
         listener: client_connections.Listener, newest: client_connections.ClientConnection | None
     ) -> bool:
         nonlocal looks
         looks += 1
-        return looks < 50 and make_room(listener, newest)
+        return looks < 50 and evict_connection(listener, newest)
 
     def leave_and_shrink(client: client_connections.ClientConnection) -> None:
         leave(client)
@@ -742,8 +744,8 @@
                 assert (await client.ask(request()))[0] == 200
             listener = stand.node.listener
             await until(lambda: len(listener.idle) == 6)
-            monkeypatch.setattr(client_connections.Listener, "make_room", count)
-            monkeypatch.setattr(client_connections.ClientConnection, "leave", leave_and_shrink)
+            monkeypatch.setattr(client_connections.Listener, "evict_connection", count)
+            monkeypatch.setattr(client_connections.ClientConnection, "abandon", leave_and_shrink)
             crowd[0].writer.close()
             await until(lambda: looks)
             assert looks < 50
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -723,7 +723,7 @@
 def test_near_the_descriptor_limit_the_longest_idle_client_makes_room() -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             crowd = [await stand.client() for _ in range(limit)]
             for client in crowd:
                 assert (await client.ask(request()))[0] == 200
@@ -742,12 +742,12 @@
         async with running(await Peer().start(), sockets=96) as stand:
             listener, most = stand.node.listener, 0
             crowd = []
-            for _ in range(2 * listener.limit):
+            for _ in range(2 * listener.max_connections):
                 crowd.append(await stand.client())
                 if ask:
                     assert (await crowd[-1].ask(request()))[0] == 200
                 most = max(most, len(listener.connections) + len(listener.lingering))
-            assert most <= listener.limit
+            assert most <= listener.max_connections
             assert (await (await stand.client()).ask(request()))[0] == 200
 
     run(test())
@@ -766,7 +766,7 @@
 
 
 def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "REQUEST_TIME", 0.05)
+    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -785,8 +785,8 @@
 def test_a_connection_that_brings_no_proper_request_is_ended(
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connections, "PROVE_TIME", 0.05)
-    monkeypatch.setattr(client_connections, "LOOK", 0.02)
+    monkeypatch.setattr(client_connections, "FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connections, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -802,7 +802,7 @@
 def test_connections_that_bring_nothing_make_room_before_those_of_clients() -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             proper = await stand.client()
             assert (await proper.ask(request()))[0] == 200
             crowd = [await stand.client() for _ in range(limit)]
@@ -818,11 +818,11 @@
 def test_a_client_that_writes_slowly_outlives_silent_stopped_and_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_connections, "STOPPED", 1.0)
+    monkeypatch.setattr(client_connections, "FIRST_REQUEST_STALL_S", 1.0)
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             idle = await stand.client()
             assert (await idle.ask(request()))[0] == 200
             stopped, slow, silent = [await stand.client() for _ in range(3)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -108,7 +108,7 @@
             assert stand.node.server is not None
             address = stand.node.server.sockets[0].getsockname()
             queued = [socket.create_connection(address) for _ in range(5)]  # the loop has not seen them
-            stand.node.listener.stop()
+            stand.node.listener.stop_accepting()
             for connection in queued:
                 connection.setblocking(False)
                 client = Client(*await asyncio.open_connection(sock=connection))
@@ -126,17 +126,17 @@
             clients = [await old.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(request()))[0] == 200
-            whole = (old.node.listener.limit, old.node.pool.max_connections)
+            whole = (old.node.listener.max_connections, old.node.pool.max_connections)
             assert whole == connection_limits(256) and sum(whole) < 256
             async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as new:
-                await until(lambda: old.node.listener.limit < whole[0])
+                await until(lambda: old.node.listener.max_connections < whole[0])
                 half = connection_limits(128)
                 for stand in (old, new):
-                    assert (stand.node.listener.limit, stand.node.pool.max_connections) == half
+                    assert (stand.node.listener.max_connections, stand.node.pool.max_connections) == half
                 assert 2 * sum(half) <= sum(whole)
                 assert len(old.node.listener.connections) <= half[0]
                 assert (await clients[-1].ask(request()))[0] == 200  # the longest idle have made room
-            await until(lambda: (old.node.listener.limit, old.node.pool.max_connections) == whole)
+            await until(lambda: (old.node.listener.max_connections, old.node.pool.max_connections) == whole)
 
     run(test())
 
