--- a/flaxstep/proxy/__main__.py
+++ b/flaxstep/proxy/__main__.py
@@ -14,12 +14,12 @@
 from flaxstep.proxy.config import Config, ConfigError, read_config, read_discovery
 from flaxstep.proxy.node import Node
 
-READ_AGAIN = 0.1  # s between looks at a configuration that can't be read
+CONFIG_RETRY_INTERVAL_S = 0.1  # s between looks at a configuration that can't be read
 
 log = logging.getLogger("flaxstep.proxy")
 
 
-class Reloader:
+class ConfigReloader:
     """Takes a replaced configuration file over. Whatever it holds, the node goes on.
 
     A file may be half written when the signal comes. Until it can be read it is read again, as the old
@@ -29,41 +29,41 @@
     def __init__(self, node: Node, path: str) -> None:
         self.node = node
         self.path = path
-        self.again: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
 
     def on_signal(self) -> None:
         log.info("SIGHUP: the configuration is read again")
         self.node.expect_move()
-        if self.again is not None:
-            self.again.cancel()
-        self.read(told="")
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        self.read_file(reported_error="")
 
-    def read(self, told: str) -> None:
-        """Read the file; `told` is what was last said to be wrong with it."""
-        self.again = None
+    def read_file(self, reported_error: str) -> None:
+        """Read the file; `reported_error` is what was last logged about it."""
+        self.retry_timer = None
         try:
             self.node.move_discovery(read_discovery(self.path))
         except ConfigError as error:
-            if str(error) != told:
+            if str(error) != reported_error:
                 log.warning("configuration not taken over: %s", error)
-            self.again = self.node.loop.call_later(READ_AGAIN, self.read, str(error))
+            self.retry_timer = self.node.loop.call_later(CONFIG_RETRY_INTERVAL_S, self.read_file, str(error))
 
 
 async def serve(config: Config) -> None:
-    loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     node = Node(config, loop)
-    loop.add_signal_handler(signal.SIGHUP, Reloader(node, os.environ["ROUTER_CONFIG"]).on_signal)
+    loop.add_signal_handler(signal.SIGHUP, ConfigReloader(node, os.environ["ROUTER_CONFIG"]).on_signal)
     gc.collect()
     gc.freeze()  # what is there now stays: the collector need not look at it again
-    starting, stopped = loop.create_task(node.start()), loop.create_task(stop.wait())
-    await asyncio.wait({starting, stopped}, return_when=asyncio.FIRST_COMPLETED)
-    if starting.done():
-        starting.result()  # raises what kept it from starting
-        await stopped
+    start_task, stop_task = loop.create_task(node.start()), loop.create_task(stop_requested.wait())
+    await asyncio.wait({start_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+    if start_task.done():
+        start_task.result()  # raises what kept it from starting
+        await stop_task
     else:  # told to stop while it waited for a list
-        starting.cancel()
+        start_task.cancel()
     await node.drain()
 
 
--- a/flaxstep/proxy/config.py
+++ b/flaxstep/proxy/config.py
@@ -37,8 +37,8 @@
     tenants: dict[bytes, int]
     kinds: dict[str, int]
     zones: dict[str, int]
-    dial_timeout: float  # ms
-    idle_timeout: float  # ms after which a server closes a connection that carries nothing
+    dial_timeout_ms: float  # ms
+    idle_timeout_ms: float  # ms after which a server closes a connection that carries nothing
     log_level: int = logging.INFO  # DEBUG: also a line for each attempt, answer and closed connection
 
 
@@ -50,7 +50,7 @@
 
 
 @contextmanager
-def _plain_errors(path: str) -> Iterator[None]:
+def _one_line_errors(path: str) -> Iterator[None]:
     """Whatever is wrong with the file, as one line."""
     try:
         yield
@@ -67,7 +67,7 @@
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
-    with _plain_errors(path):
+    with _one_line_errors(path):
         raw = json.loads(Path(path).read_bytes())
         settings = raw["settings"]
         allowed = settings["Allowed"]
@@ -83,12 +83,12 @@
             memory_mb=int(raw["limits"]["memory_mb"]),
             known=dict(raw.get("known") or {}),
             settings=read_settings(json.dumps(settings).encode()),
-            classes={c["Name"].encode(): i for i, c in enumerate(settings["Classes"])},
-            tenants={c["Name"].encode(): i for i, c in enumerate(settings.get("Customers", ()))},
+            classes={entry["Name"].encode(): i for i, entry in enumerate(settings["Classes"])},
+            tenants={entry["Name"].encode(): i for i, entry in enumerate(settings.get("Customers", ()))},
             kinds={name: i for i, name in enumerate(settings.get("Kinds", ()))},
             zones={name: i for i, name in enumerate(settings.get("Azs", ()))},
-            dial_timeout=float(allowed["DialTimeout"]),
-            idle_timeout=float(allowed["ConnIdle"]),
+            dial_timeout_ms=float(allowed["DialTimeout"]),
+            idle_timeout_ms=float(allowed["ConnIdle"]),
             log_level=read_log_level(environ.get("ROUTER_LOG_LEVEL") or raw.get("log_level") or "info"),
         )
 
@@ -102,5 +102,5 @@
 
 def read_discovery(path: str) -> Address:
     """Where discovery is now. Only the file can tell: the variables are those of the start."""
-    with _plain_errors(path):
+    with _one_line_errors(path):
         return parse_address(json.loads(Path(path).read_bytes())["discovery"])
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -126,7 +126,13 @@
         self.by_server = ServerMetrics(self.figures.classes)
         self.body_budget = BodyBudget((config.memory_mb << 20) // BODIES)
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, self, self.figures, self.body_budget
+            loop,
+            config.dial_timeout_ms,
+            config.idle_timeout_ms,
+            servers,
+            self,
+            self.figures,
+            self.body_budget,
         )
         self.listener = Listener(loop, config, self, clients, self.body_budget)
         self.lists = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
--- a/tests/net.py
+++ b/tests/net.py
@@ -187,8 +187,8 @@
         "tenants": {},
         "kinds": {"m": 0},
         "zones": {"a": 0},
-        "dial_timeout": 5000.0,
-        "idle_timeout": 15000.0,
+        "dial_timeout_ms": 5000.0,
+        "idle_timeout_ms": 15000.0,
     }
     return Config(**values | changes)
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -66,19 +66,19 @@
     def broken(_: bytes) -> admin.Reply:
         raise RuntimeError("broken on purpose")
 
-    status, text, _ = admin.AdminServer(asyncio.new_event_loop(), {b"/admin/x": (b"POST", broken)}).reply(
-        b"POST", b"/admin/x", b""
-    )
+    status, text, _ = admin.AdminServer(
+        asyncio.new_event_loop(), {b"/admin/x": (b"POST", broken)}
+    ).handle_call(b"POST", b"/admin/x", b"")
     assert status == 500 and "broken" not in text
     assert "broken on purpose" in caplog.text
 
 
 def test_callers_that_stall_starve_nobody_and_are_told_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin, "CALL_TIME", 0.3)
+    monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with running(await Peer().start(), admin=DOOR) as stand:
-            stalled = [await stand.caller() for _ in range(3 * admin.MAX_CALLERS)]
+            stalled = [await stand.caller() for _ in range(3 * admin.MAX_CONNECTIONS)]
             for caller in stalled[::2]:
                 caller.writer.write(b"POST /admin/quiesce HTTP/1.1\r\nContent-Le")
             assert await stand.call("GET", "health") == (200, "ready\n")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -672,7 +672,7 @@
 def test_a_connection_that_was_idle_for_too_long_is_not_used() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, idle_timeout=0.0) as stand:
+        async with running(peer, idle_timeout_ms=0.0) as stand:
             client = await stand.client()
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
