--- a/flaxstep/proxy/client_connections.py
+++ b/flaxstep/proxy/client_connections.py
@@ -1,4 +1,4 @@
-"""The side of the clients: the listener, request parsing, and final answers."""
+"""Client connections: the listener, the parsing and checking of requests, and the responses to clients."""
 
 from __future__ import annotations
 
@@ -53,12 +53,12 @@
 
 
 def stable_id(name: bytes) -> int:
-    """A number for a name, never 0, and the same at every node and after every start."""
+    """Hash a name to a non-zero number that is the same at every node and after every start."""
     return int.from_bytes(blake2b(name, digest_size=8).digest()) or 1
 
 
 class BadRequest(Exception):
-    """A request that can't be taken: the status that says why, and header lines that go with it."""
+    """A request that is rejected: the status of the response, and header lines to send with it."""
 
     def __init__(self, status: int, extra_headers: bytes = b"") -> None:
         self.status = status
@@ -67,49 +67,56 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A checked request."""
+    """A valid request from a client.
+
+    `key` is the hash of the last part of the path after the class; the policy may route by it. 0: none.
+    """
 
     message: ForwardedRequest
     cls: int
     tenant: int
     key: int
-    sent_at_ms: float  # as near as the node can tell
-    timeout_ms: float  # ms from then until the client gives up
-    work_hint_ms: float  # the client's guess at the work in ms, 0: none
-    is_client_retry: bool  # marked as the client's retry
-    awaits_continue: bool = False  # the client waits for a go-ahead before it sends the body
+    sent_at_ms: float  # when the node parsed the request, the closest known time to its sending
+    timeout_ms: float  # from then until the client gives up
+    work_hint_ms: float  # the client's estimate of the work; 0: none given
+    is_client_retry: bool  # the client has marked it with Client-Retry
+    awaits_continue: bool = False  # the client sends the body only after a 100 (Continue) response
 
 
 class HealthCheck:
-    """The front asks whether the node can serve."""
+    """A request of the load balancer in front of the nodes: can this node serve requests?"""
 
 
 class RequestHandler(Protocol):
-    """What takes the requests."""
+    """Receives valid requests and events of their clients; the node implements it."""
 
     @property
     def ready(self) -> bool:
-        """Whether the front may send clients here."""
+        """Whether the health check succeeds, so that clients are sent here."""
 
     @property
     def draining(self) -> bool:
-        """Whether each connection ends with its last answer."""
+        """Whether the node drains: each connection is closed after its last response."""
 
     def accept_request(self, client: ClientConnection, request: ClientRequest) -> None:
-        """Take on a request and give the connection its number."""
+        """Start to serve a request and set the connection's `request_id` to its number."""
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
-        """The last byte of a body that was passed on as it came has come."""
+        """The last byte of a body that is forwarded while it arrives has been received."""
 
     def client_gone(self, request_id: int) -> None:
-        """The client has gone away."""
+        """The client has disconnected or broken off its request: no response can be sent."""
 
     def pause_response(self, request_id: int, pause: bool) -> None:
-        """The client takes no more for now, or takes more again."""
+        """Pause the response while the client does not read it fast enough, or resume it."""
 
 
 class Listener:
-    """All connections of clients."""
+    """Accepts client connections and keeps them within the limit of descriptors.
+
+    A connection that has sent no valid request in time is closed, and so is an idle one while the node
+    drains. Over the limit, the connections that cost their clients least are evicted.
+    """
 
     def __init__(
         self,
@@ -138,6 +145,7 @@
         self.awaiting_first_request: OrderedDict[ClientConnection, float] = OrderedDict()
 
     async def start(self) -> asyncio.Server:
+        """Listen on the configured address."""
         self.socket = self.bind_socket()
         try:
             self.server = await self.loop.create_server(
@@ -150,34 +158,35 @@
         return self.server
 
     def bind_socket(self) -> socket.socket:
+        """Return a socket bound to the configured address."""
         host, port = self.config.listen
         family, kind, protocol, _, address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
-        bound = socket.socket(family, kind, protocol)
+        listening_socket = socket.socket(family, kind, protocol)
         try:
-            bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if self.config.admin is not None:  # a successor may listen beside this process
-                bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            bound.setblocking(False)
-            bound.bind(address)
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            if self.config.admin is not None:  # during an upgrade the new process listens on the same port
+                listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            listening_socket.setblocking(False)
+            listening_socket.bind(address)
         except OSError:
-            bound.close()
+            listening_socket.close()
             raise
-        return bound
+        return listening_socket
 
     def create_connection(self) -> ClientConnection:
         return ClientConnection(self)
 
     def stop_accepting(self) -> None:
-        """No new connections from now on. Those that the kernel has queued would be reset: they are taken."""
+        """Close the listening socket, but first accept what the kernel has queued: a close would reset it."""
         while True:
             try:
-                accepted, _ = self.socket.accept()
-            except OSError:  # none is left, or no descriptor for it
+                accepted_socket, _ = self.socket.accept()
+            except OSError:  # the queue is empty, or no descriptor is left
                 break
-            accepted.setblocking(False)
-            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            accepted_socket.setblocking(False)
+            accepted_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             accept_task = self.loop.create_task(
-                self.loop.connect_accepted_socket(self.create_connection, accepted)
+                self.loop.connect_accepted_socket(self.create_connection, accepted_socket)
             )
             self.accept_tasks.add(accept_task)
             accept_task.add_done_callback(self.accept_tasks.discard)
@@ -185,29 +194,39 @@
 
     @property
     def has_clients(self) -> bool:
-        """Whether a client is here still, also one that is just being taken or has yet to close."""
+        """Whether any client is connected, including those being accepted and those lingering."""
         return bool(self.connections or self.lingering or self.accept_tasks)
 
     def set_limit(self, max_connections: int) -> None:
+        """Change the limit of connections, and evict those over it."""
         self.max_connections = max_connections
         self.enforce_connection_limit(None)
 
     def on_connection_opened(self, client: ClientConnection) -> None:
+        """Supervise a new connection, and evict another if it is one too many."""
         log_event("client_connected", connection=client.descriptor)
         self.connections.add(client)
         self.awaiting_first_byte[client] = self.awaiting_first_request[client] = self.loop.time()
         self.enforce_connection_limit(client)
 
     def enforce_connection_limit(self, newest: ClientConnection | None) -> None:
-        """Who is told of its end still holds its descriptor: it makes room in the step after that."""
+        """Evict connections until the limit is met.
+
+        An evicted connection is closed in an orderly way and lingers with its descriptor; the next
+        iteration aborts it once all that was written to it has been sent.
+        """
         while len(self.connections) + len(self.lingering) > self.max_connections and self.evict_connection(
             newest
         ):
             pass
 
     def evict_connection(self, newest: ClientConnection | None) -> bool:
-        """One makes room: who was told of its end, who has brought nothing of use, else, as a close does no
-        harm, who is idle."""
+        """Close one connection and return whether there was one.
+
+        First come connections that linger, then those that have sent nothing, or no byte of their first
+        request for some time. Then come idle ones, as clients cope with a close between requests, and last
+        those whose first request still arrives.
+        """
         for lingering in self.lingering:
             if not lingering.transport.get_write_buffer_size():
                 del self.lingering[lingering]
@@ -232,28 +251,33 @@
         return False
 
     def on_bytes_received(self, client: ClientConnection) -> None:
-        """Bytes have come."""
+        """Note that a connection without a valid request so far makes progress."""
         if client in self.awaiting_first_request:
             self.awaiting_first_byte.pop(client, None)
             self.receiving_first_request[client] = self.loop.time()
             self.receiving_first_request.move_to_end(client)
 
     def on_valid_request(self, client: ClientConnection) -> None:
+        """End the supervision of a connection that has sent a valid request."""
         self.awaiting_first_request.pop(client, None)
         self.receiving_first_request.pop(client, None)
 
     def start_lingering(self, client: ClientConnection) -> None:
-        """Its last answer is written: it counts until it is closed, and nothing more is taken on it."""
+        """Note that the last response is written. The connection counts against the limit until it closes."""
         self.on_connection_closed(client)
         self.lingering[client] = None
 
     def on_connection_closed(self, client: ClientConnection) -> None:
+        """Forget a connection whose transport has closed, or that lingers from now on."""
         self.connections.discard(client)
         self.lingering.pop(client, None)
         self.exclude_from_eviction(client)
 
     def exclude_from_eviction(self, client: ClientConnection) -> None:
-        """It can make no room any more. Its descriptor counts until its transport closes, a turn later."""
+        """Neither evict nor time out this connection, which is about to close.
+
+        Its descriptor still counts until its transport closes in the next turn of the loop.
+        """
         for group in (
             self.awaiting_first_byte,
             self.receiving_first_request,
@@ -263,20 +287,22 @@
             group.pop(client, None)
 
     def detect_closed_while_paused(self) -> None:
-        """A connection that is not read tells of its end only when asked."""
+        """Poll for clients that have closed while reading is paused: the transport does not report those."""
         if not self.read_paused:
             return
         poller = select.poll()
         for descriptor in self.read_paused:
             poller.register(descriptor, select.POLLRDHUP)
         for descriptor, _ in poller.poll(0):
-            if (
-                client := self.read_paused.get(descriptor)
-            ) is not None:  # one that goes may let another read on
+            # Closing one connection may resume reading on another that was polled with it.
+            if (client := self.read_paused.get(descriptor)) is not None:
                 client.abandon_paused()
 
     def sweep_connections(self) -> None:
-        """Who connects and brings no proper request must not hold a descriptor."""
+        """Close connections whose client has gone or sent no valid request in time.
+
+        They must not hold descriptors.
+        """
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep_connections)
         self.detect_closed_while_paused()
         oldest_allowed = self.loop.time() - FIRST_REQUEST_TIMEOUT_S
@@ -288,7 +314,10 @@
             self.close_idle()
 
     def close_idle(self) -> None:
-        """A client that sees its connection close comes back elsewhere. One just opened may yet ask."""
+        """Close idle connections, so that their clients reconnect to another node.
+
+        A connection that has only just opened may still send its first request.
+        """
         opened_before = self.loop.time() - DRAIN_GRACE_FOR_NEW_S
         for client in [
             *self.idle,
@@ -297,7 +326,7 @@
             client.close("draining")
 
     def reject_unfinished_requests(self) -> None:
-        """Who has not sent its whole request by now is told that the node ends."""
+        """Respond with 503 to requests that are still arriving, and close connections that serve none."""
         for client in list(self.connections):
             if client.receiving_request and not client.input_finished:
                 client.stop_reading(BadRequest(503))
@@ -306,18 +335,18 @@
                 client.close("stopping")
 
     def count_queued_requests(self) -> int:
-        """Requests that have come whole and wait behind others on their connections."""
-        items = [entry for client in self.connections for entry, _ in client.queued_requests]
-        requests = [entry.message for entry in items if isinstance(entry, ClientRequest)]
+        """The number of complete requests that wait for earlier ones on the same connection."""
+        queued_items = [entry for client in self.connections for entry, _ in client.queued_requests]
+        requests = [entry.message for entry in queued_items if isinstance(entry, ClientRequest)]
         return sum(message.upload is None or message.upload.complete for message in requests)
 
     def validate_request(
         self, parser: httptools.HttpRequestParser, url: bytes, headers: Headers
     ) -> tuple[int, int, int]:
-        """Class, tenant and key of a request, or BadRequest."""
+        """Return the class, tenant and key of a request; raise BadRequest if it is invalid."""
         parts = url.partition(b"?")[0].split(b"/")
         if parts[0] or len(parts) < 2:
-            raise BadRequest(400)  # no path from the root
+            raise BadRequest(400)  # not an absolute path
         cls = self.config.classes.get(parts[1])
         if cls is None:
             raise BadRequest(404)
@@ -329,13 +358,14 @@
         if headers.malformed or not headers.request_id or tenant is None:
             raise BadRequest(400)
         if effect is not Effect.SAFE and (headers.idempotency_key is None) == (effect is Effect.KEYED):
-            raise BadRequest(400)  # keyed with no key, or a key where a repeat can't be told
+            # A keyed request without its key, or a key in a class whose servers don't detect repeats.
+            raise BadRequest(400)
         key = stable_id(parts[-1]) if len(parts) > 2 and parts[-1] else 0
         return cls, tenant, key
 
 
 class Headers:
-    """The headers of one request: what the node reads of them, and the lines that go on."""
+    """The headers of one request: the values that the node uses, and the lines that it forwards."""
 
     __slots__ = (
         "malformed", "chunked", "awaits_continue", "work_hint_ms", "idempotency_key", "content_length",
@@ -353,39 +383,42 @@
         self.work_hint_ms, self.is_client_retry = 0.0, False
 
     def add(self, name: bytes, value: bytes) -> None:
-        lower = name.lower()
-        if lower == b"request-id":
+        """Interpret one header, and keep its line if it is to be forwarded."""
+        lower_name = name.lower()
+        if lower_name == b"request-id":
             self.malformed = self.malformed or self.request_id is not None
             self.request_id = value
-        elif lower == b"tenant":
+        elif lower_name == b"tenant":
             self.malformed = self.malformed or self.tenant is not None
             self.tenant = value
-        elif lower == b"idempotency-key":
+        elif lower_name == b"idempotency-key":
             self.malformed = self.malformed or self.idempotency_key is not None or not value
             self.idempotency_key = value
-        elif lower == b"request-timeout":
+        elif lower_name == b"request-timeout":
             match = _TIMEOUT_PATTERN.fullmatch(value)
             self.malformed = self.malformed or self.timeout_ms is not None or match is None
             if match is not None:
                 self.timeout_ms = float(match[1]) / (1 if match[2] == b"m" else 1000)
-        elif lower == b"content-length":
-            self.content_length = int(value)  # the parser has refused all but digits
-        elif lower == b"transfer-encoding":
-            if value.lower() != b"chunked":  # no other coding is undone here
+        elif lower_name == b"content-length":
+            self.content_length = int(value)  # the parser accepts digits only
+        elif lower_name == b"transfer-encoding":
+            if value.lower() != b"chunked":  # the only coding that is decoded
                 raise BadRequest(501)
             self.chunked = True
-        elif lower == b"work-hint":
-            self.work_hint_ms = int(value) / 1000 if _DIGITS_PATTERN.fullmatch(value) else 0.0  # optional
-        elif lower == b"client-retry":
+        elif (
+            lower_name == b"work-hint"
+        ):  # in microseconds; an invalid one is ignored, as the header is optional
+            self.work_hint_ms = int(value) / 1000 if _DIGITS_PATTERN.fullmatch(value) else 0.0
+        elif lower_name == b"client-retry":
             self.is_client_retry = value == b"1"
-        elif lower == b"expect":
+        elif lower_name == b"expect":
             self.awaits_continue = value.lower() == b"100-continue"
-        if lower not in _HEADERS_NOT_FORWARDED:
+        if lower_name not in _HEADERS_NOT_FORWARDED:
             self.forwarded_lines.append(b"%b: %b\r\n" % (name, value))
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client. Requests on it are answered one after the other."""
+    """One connection of a client. Pipelined requests are served one after the other."""
 
     transport: asyncio.Transport
 
@@ -417,7 +450,7 @@
         self.bytes_since_request = 0  # received since the end of the last complete request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        # A cast, as uvloop's transports are no subclasses of asyncio's. uvloop sets TCP_NODELAY on them.
         self.transport = cast(asyncio.Transport, transport)
         self.descriptor: int = transport.get_extra_info("socket").fileno()
         self.listener.on_connection_opened(self)
@@ -427,16 +460,16 @@
         self.abandon()
 
     def eof_received(self) -> None:
-        """The client has closed, so it has gone and waits for no answer. The transport closes too."""
+        """Treat a half-close as the client's departure: it waits for no response. The transport closes."""
         self.abandon()
 
     def abandon_paused(self) -> None:
-        """The same, seen while nothing is read."""
+        """Abort a connection that the client has closed while reading was paused."""
         self.abandon()
         self.transport.abort()
 
     def abandon(self) -> None:
-        """Nothing more comes or goes."""
+        """Stop reading and writing, and withdraw the request that is being served."""
         if not self.output_finished:
             log_event("client_left", connection=self.descriptor, request=self.request_id)
         self.input_finished = self.output_finished = True
@@ -444,20 +477,21 @@
         self.listener.read_paused.pop(self.descriptor, None)
         self.queued_requests.clear()
         self.withdraw_request()
-        self.stop_request()
+        self.stop_receiving_request()
 
     def withdraw_request(self) -> None:
+        """Tell the handler that nobody waits for the response to the current request."""
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
             self.listener.handler.client_gone(request_id)
 
     def close(self, cause: str) -> None:
-        """End it between requests, or in one that will never be whole."""
-        self.stop_request()
+        """Close the connection between requests, or in the middle of one that will never be complete."""
+        self.stop_receiving_request()
         self.half_close(cause)
 
     def half_close(self, cause: str) -> None:
-        """No answer goes out from here on. What still comes can get none, so none of it is taken."""
+        """Close the sending side. Input that still arrives can get no response, so it is discarded."""
         if self.output_finished:
             return
         log_event("client_closed", connection=self.descriptor, cause=cause)
@@ -468,7 +502,7 @@
         self.listener.start_lingering(self)
         close_after_response(self.listener.loop, self.transport)
 
-    # Requests in.
+    # Reading requests.
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.listener.body_budget.read_buffer()
@@ -481,7 +515,7 @@
         try:
             self.parser.feed_data(self.listener.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserUpgrade:
-            # No upgrade is offered: the request is served as any other, and the last on its connection.
+            # Upgrades are not supported: the request is served as usual, as the last on its connection.
             self.input_finished = True
             if self.queued_requests:
                 self.queued_requests[-1] = (self.queued_requests[-1][0], False)
@@ -499,7 +533,7 @@
         self.serve_next_requests()
 
     def queue_is_full(self) -> bool:
-        """Whether as much waits here as may."""
+        """Whether the queue holds as many requests or body bytes as it may."""
         queued = self.queued_requests
         if len(queued) < 2:
             return False
@@ -507,6 +541,7 @@
         return len(queued) > MAX_PIPELINED_REQUESTS or bodies > self.listener.body_budget.share_bytes
 
     def update_reading(self) -> None:
+        """Pause or resume reading from the client."""
         if self.transport.is_closing():
             return
         if self.paused_for_queue or self.paused_for_upload:
@@ -517,6 +552,7 @@
             self.transport.resume_reading()
 
     def pause_upload(self, pause: bool) -> None:
+        """Stop reading the body while no server accepts more of it, or read on."""
         if pause == self.paused_for_upload:
             return
         self.paused_for_upload = pause
@@ -524,23 +560,23 @@
         if pause:
             self.upload_paused_at = now
         else:
-            self.request_started_at += now - self.upload_paused_at  # the client could send nothing meanwhile
+            self.request_started_at += now - self.upload_paused_at  # not the client's delay
         self.update_reading()
 
     def stop_reading(self, error: BadRequest) -> None:
-        """Nothing further on this connection can be told apart: answer what came before, then this."""
+        """Read no more after an error in the input: serve the requests before it, then send the error."""
         self.listener.idle.pop(self, None)
         upload = self.upload
         if self.serving_upload:
-            self.withdraw_request()  # first: a body that breaks off is no failure of a server
-        self.stop_request()
-        if self.input_finished:  # what is wrong came after the last answer
+            self.withdraw_request()  # before the upload ends, or the server would be blamed for it
+        self.stop_receiving_request()
+        if self.input_finished:  # the error came after the last request
             self.half_close("malformed_after_last_answer")
             return
         self.input_finished = True
         if upload is not None and upload.response_sent:
             self.finish_connection()
-        elif self.serving_upload:  # the request under way is the one that is broken
+        elif self.serving_upload:  # the error is in the request that is being served
             self.keep_alive = False
             if self.response_streaming:
                 self.abort_response()
@@ -548,11 +584,11 @@
                 self.send_response(error.status, extra_headers=error.extra_headers)
         else:
             if upload is not None:
-                self.queued_requests.pop()  # it has not had its turn
+                self.queued_requests.pop()  # the error replaces it
             self.queued_requests.append((error, False))
 
-    def stop_request(self) -> None:
-        """No more of a request's body comes, whole or not."""
+    def stop_receiving_request(self) -> None:
+        """Stop the timer and the upload of the request that was arriving, complete or not."""
         self.receiving_request = False
         if self.request_timer is not None:
             self.request_timer.cancel()
@@ -574,7 +610,7 @@
         self.request_timer = self.listener.loop.call_later(REQUEST_TIMEOUT_S, self.on_request_timeout)
 
     def on_request_timeout(self) -> None:
-        """A client that never finishes its request must not hold a descriptor for ever."""
+        """Respond with 408 unless the body arrives fast enough: no request may hold a descriptor for ever."""
         loop = self.listener.loop
         time_left_s = (
             self.request_started_at
@@ -589,7 +625,7 @@
         self.serve_next_requests()
 
     def on_first_request_timeout(self, overdue_s: float) -> None:
-        """No proper request has come in time, unless its body is on its way as fast as need be."""
+        """Close a connection without a valid request, unless its first body arrives fast enough."""
         if self.headers.complete and overdue_s < self.body_bytes_received / MIN_UPLOAD_BYTES_PER_S:
             return
         if self.receiving_request and not self.input_finished:
@@ -608,8 +644,8 @@
         headers.size_bytes += len(name) + len(value) + 4
         if headers.size_bytes > MAX_HEAD_BYTES:
             raise BadRequest(431)
-        if not headers.complete:  # else it is a trailer: of those none goes on, and none is believed
-            headers.add(name, value.strip(b" \t"))  # white space round a value is no part of it
+        if not headers.complete:  # trailers are neither used nor forwarded
+            headers.add(name, value.strip(b" \t"))  # surrounding white space is not part of a value
 
     def on_headers_complete(self) -> None:
         headers = self.headers
@@ -618,20 +654,21 @@
         if version not in ("1.1", "1.0"):
             raise BadRequest(505)
         if headers.chunked and version == "1.0":
-            raise BadRequest(400)  # who sent it can't have meant it
+            raise BadRequest(400)  # HTTP/1.0 has no chunked coding
         if headers.content_length > MAX_REQUEST_BODY_BYTES:
-            raise BadRequest(413)  # before the body has come
+            raise BadRequest(413)  # before the body is read
         if headers.content_length > BUFFERED_BODY_BYTES:
             self.start_upload(headers.content_length)
         elif headers.awaits_continue and not self.serving_request and not self.queued_requests:
             self.send_continue()
 
     def send_continue(self) -> None:
+        """Ask for the body of a request with `Expect: 100-continue`."""
         self.headers.awaits_continue = False
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def start_upload(self, length: int | None) -> None:
-        """The body is more than is held whole: the request goes on its way while it still comes."""
+        """Serve a request while its body arrives, as the body is too large to be buffered whole."""
         request = self.build_request()
         if isinstance(request, HealthCheck):
             raise BadRequest(400)
@@ -643,6 +680,7 @@
         self.queued_requests.append((request, self.parser.should_keep_alive()))
 
     def count_in_budget(self) -> None:
+        """Count the body that arrives among those that share the memory budget."""
         if not self.counted_in_budget:
             self.counted_in_budget = True
             self.listener.body_budget.body_count += 1
@@ -658,12 +696,12 @@
         if len(self.body) > MIN_BODY_SHARE_BYTES:
             self.count_in_budget()
         if len(self.body) > self.listener.body_budget.share_bytes:
-            # Where many bodies are in hand, less of each is held, also of those with a length.
+            # With many bodies in memory each may buffer less, even one with a short Content-Length.
             self.start_upload(None if self.headers.chunked else self.headers.content_length)
 
     def on_message_complete(self) -> None:
         upload, self.upload = self.upload, None
-        self.stop_request()
+        self.stop_receiving_request()
         self.bytes_since_request = 0
         if upload is not None:
             self.finish_upload(upload)
@@ -675,6 +713,7 @@
             self.queued_requests.append((error, keep_alive))
 
     def finish_upload(self, upload: Upload) -> None:
+        """Forward the end of a body, or finish with the connection if the response is already sent."""
         upload.finish()
         self.pause_upload(False)
         if upload.response_sent:
@@ -688,11 +727,10 @@
                 self.listener.handler.upload_complete(self, self.request_id)
 
     def build_request(self) -> ClientRequest | HealthCheck:
+        """Return the request that has arrived; raise BadRequest if it is invalid."""
         headers, url = self.headers, self.url
         if not url.startswith(b"/") and (prefix := _ABSOLUTE_URL_PREFIX.match(url)):
-            url = b"/" + url[prefix.end() :].removeprefix(
-                b"/"
-            )  # as a proxy is asked; the server gets the path
+            url = b"/" + url[prefix.end() :].removeprefix(b"/")  # absolute form, as sent to proxies
         if url == HEALTH_PATH:
             if self.parser.get_method() != b"GET":
                 raise BadRequest(405, b"Allow: GET\r\n")
@@ -717,8 +755,10 @@
         )
 
     def serve_next_requests(self) -> None:
-        """Begin with the next request that has come in whole, or that is more than can be held."""
-        if self.serving_queue:  # an answer given at once comes back here: a loop, or many would nest too deep
+        """Serve the queued requests in order, as far as responses can be sent at once."""
+        if self.serving_queue:
+            # Called on a response that was sent in the loop below. The loop goes on: calls for each of many
+            # such responses would nest too deep.
             return
         self.serving_queue = True
         handler = self.listener.handler
@@ -741,21 +781,22 @@
             and not self.serving_request
             and not self.input_finished
         ):
-            self.send_continue()  # its turn has come
+            self.send_continue()  # all earlier requests have their responses
 
     def serve_request(self, request: ClientRequest) -> None:
+        """Pass a request to the handler, and ask for its body if the client waits for that."""
         upload = request.message.upload
         self.serving_upload = upload is not None and not upload.complete
         self.listener.handler.accept_request(self, request)
         if self.serving_upload and request.awaits_continue and self.serving_request:
             self.send_continue()
 
-    # Answers out.
+    # Writing responses.
 
     def send_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", extra_headers: bytes = b""
     ) -> None:
-        """Write the final answer to the request under way."""
+        """Write a complete response to the current request."""
         self.request_id = 0
         keep_alive = self.keep_alive_after_response()
         lines = b"%b%d\r\n%b" % (STATUS_LINES[status], len(body), extra_headers)
@@ -765,18 +806,18 @@
         self.on_response_sent(keep_alive)
 
     def keep_alive_after_response(self) -> bool:
-        """Whether the connection outlives the answer under way."""
+        """Whether the connection stays open after the current response."""
         if self.serving_upload and self.headers.awaits_continue:
-            return False  # never told to go ahead: nobody can tell whether the body will come
-        # A node that drains still owes an answer to what it has read, also in part: the connection ends with
-        # the last.
+            return False  # without 100 (Continue) the client may send the body or the next request
+        # A draining node still responds to every request that it has read, even in part, and closes the
+        # connection after the last one.
         further = bool(self.queued_requests) or (self.receiving_request and not self.serving_upload)
         return self.keep_alive and (further or not self.listener.handler.draining)
 
     def begin_response(self, length: int | None, content_type: bytes) -> None:
-        """The answer goes out as it comes."""
+        """Write the head of a 200 response whose body follows while it arrives from the server."""
         if length is None and self.parser.get_http_version() == "1.0":
-            self.keep_alive = False  # it ends with the connection
+            self.keep_alive = False  # the close marks the end of the body
         elif length is None:
             self.response_chunked = True
         self.response_streaming = True
@@ -788,23 +829,26 @@
             lines += b"Transfer-Encoding: chunked\r\n"
         if content_type:
             lines += b"Content-Type: %b\r\n" % content_type
-        self.transport.set_write_buffer_limits(0)  # nothing is held here: what the kernel does not take waits
+        self.transport.set_write_buffer_limits(0)  # pause as soon as the kernel's buffer is full
         self.transport.write(b"%b%b\r\n" % (lines, b"" if self.keep_alive else b"Connection: close\r\n"))
 
     def write_response_chunk(self, data: bytes) -> None:
+        """Write a part of the response's body."""
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.response_chunked else data)
 
     def end_response(self) -> None:
+        """Write the end of a response whose body is complete."""
         self.request_id = 0
         if self.response_chunked:
             self.transport.write(b"0\r\n\r\n")
         self.response_chunked = self.response_streaming = False
         self.transport.set_write_buffer_limits()
-        # A drain may have begun meanwhile; nobody was told, but between requests a close is harmless.
+        # If a drain has begun since the head was sent, the connection closes without `Connection: close`.
+        # Between requests that is harmless.
         self.on_response_sent(self.keep_alive)
 
     def abort_response(self) -> None:
-        """The rest of the answer never comes, and the client has to see that."""
+        """Reset the connection, so that the client sees that the response is incomplete."""
         self.request_id = 0
         self.input_finished = True
         log_event("client_reset", connection=self.descriptor, cause="answer_broke_off")
@@ -819,7 +863,7 @@
             self.listener.handler.pause_response(self.request_id, False)
 
     def on_response_sent(self, keep_alive: bool) -> None:
-        """The final answer has been written."""
+        """Finish with the current request and continue with the next one."""
         self.serving_request = False
         if self.serving_upload and self.upload is not None:
             self.upload.discard_rest()
@@ -837,7 +881,7 @@
             self.enter_idle()
 
     def enter_idle(self) -> None:
-        """Nothing is under way: the connection is idle."""
+        """Mark the connection as idle, or close it if the node drains."""
         self.listener.receiving_first_request.pop(self, None)
         if self.listener.handler.draining:
             self.close("draining")
@@ -845,11 +889,11 @@
             self.listener.idle[self] = self.listener.loop.time()
 
     def finish_connection(self) -> None:
-        """After the last answer."""
+        """Close the connection after its last response."""
         self.input_finished = True
         self.queued_requests.clear()
         self.paused_for_queue = False
         self.update_reading()
-        if self.upload is None:  # else once what still comes of a body is read, so that the answer is seen
-            self.stop_request()
+        if self.upload is None:  # else finish_upload closes it once the body is read
+            self.stop_receiving_request()
             self.half_close("last_answer")
