--- a/flaxstep/proxy/__init__.py
+++ b/flaxstep/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""A load-balancing HTTP proxy on real sockets, round the decisions of flaxstep.routing."""
+"""A load-balancing HTTP proxy. It performs the network I/O for the routing decisions of flaxstep.routing."""
--- a/flaxstep/proxy/admin.py
+++ b/flaxstep/proxy/admin.py
@@ -1,4 +1,4 @@
-"""The operators' door: one HTTP call to a connection, answered at once."""
+"""The admin port for operators: an HTTP server with one call per connection."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 from flaxstep.proxy.config import Address
 from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response
 
-MAX_CONNECTIONS = 8  # connections at once
-CALL_TIMEOUT_S = 2.0  # s from its opening in which a caller must finish its call
-MAX_HEAD_BYTES = 4096  # bytes of request line and headers
-MAX_BODY_BYTES = 256  # bytes of a body: a job server's id
+MAX_CONNECTIONS = 8  # with one more, the oldest gets a timeout response
+CALL_TIMEOUT_S = 2.0  # from the opening of a connection to the end of its request
+MAX_HEAD_BYTES = 4096  # of the request line and all headers
+MAX_BODY_BYTES = 256  # a body is the id of a job server
 
 log = logging.getLogger("flaxstep.proxy")
 
 Reply = tuple[int, str]  # status and text
-AdminCall = Callable[[bytes], Reply]  # takes the body
-AdminCalls = Mapping[bytes, tuple[bytes, AdminCall]]  # by path: the method, and what is called
+AdminCall = Callable[[bytes], Reply]  # from the body of the request
+AdminCalls = Mapping[bytes, tuple[bytes, AdminCall]]  # path to method and function
 
 
 class AdminServer:
-    """The listener, and the callers that have not finished their calls, in the order in which they came."""
+    """Listens on the admin port and dispatches calls.
+
+    `connections` holds the connections without a complete request, in the order in which they opened.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, calls: AdminCalls) -> None:
         self.loop = loop
@@ -33,31 +36,33 @@
         self.connections: dict[AdminConnection, None] = {}
 
     async def start(self, address: Address) -> asyncio.Server:
+        """Listen on the address."""
         return await self.loop.create_server(lambda: AdminConnection(self), *address)
 
     def on_connection_opened(self, connection: AdminConnection) -> None:
+        """Add a connection, and end the oldest one if there are too many."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections)).on_timeout()
 
     def handle_call(self, method: bytes, path: bytes, body: bytes) -> tuple[int, str, bytes]:
-        """Status, text and further header lines for one call."""
+        """Carry out a call; return the status, the text and extra header lines of its response."""
         if path not in self.calls:
-            return 404, "no such call", b""
+            return 404, "unknown path", b""
         allowed_method, call = self.calls[path]
         if method != allowed_method:
-            return 405, f"{allowed_method.decode()} is wanted", b"Allow: %b\r\n" % allowed_method
+            return 405, f"the method must be {allowed_method.decode()}", b"Allow: %b\r\n" % allowed_method
         if body and allowed_method == b"GET":
             return 400, "this call takes no body", b""
         try:
             return *call(body), b""
-        except Exception:  # staff are told no; the log says why
-            log.exception("the call %s failed", path.decode("latin-1"))
-            return 500, "failed; the log says why", b""
+        except Exception:  # the response says that it failed, the log why
+            log.exception("admin call %s failed", path.decode("latin-1"))
+            return 500, "failed: see the log", b""
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of a caller."""
+    """One connection to the admin port. Only its first request is read."""
 
     transport: asyncio.Transport
 
@@ -66,7 +71,8 @@
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.body = b""
-        self.head_bytes = self.bytes_received = 0  # bytes of the head: as parsed, and as they came
+        # The size of the parsed request line and headers, and all bytes received.
+        self.head_bytes = self.bytes_received = 0
         self.timeout_timer: asyncio.TimerHandle | None = None
         self.head_complete = self.request_complete = self.call_ended = False
 
@@ -79,13 +85,15 @@
         self.end_call()
 
     def end_call(self) -> None:
+        """Stop the timer, and read no more of the request."""
         self.call_ended = True
         self.server.connections.pop(self, None)
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
 
     def on_timeout(self) -> None:
-        self.send_response(408, "the call did not come in time")
+        """Respond with 408 to a request that is still incomplete."""
+        self.send_response(408, "the request was not complete in time")
 
     def data_received(self, data: bytes) -> None:
         if self.call_ended:
@@ -94,9 +102,9 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.send_response(400, "no upgrade is offered")
+            self.send_response(400, "upgrades are not supported")
         except httptools.HttpParserError:
-            self.send_response(400, "not a proper request")
+            self.send_response(400, "malformed request")
         if self.head_bytes > MAX_HEAD_BYTES or (
             self.bytes_received > MAX_HEAD_BYTES and not self.head_complete
         ):
@@ -108,7 +116,7 @@
                 *self.server.handle_call(self.parser.get_method(), self.url.partition(b"?")[0], self.body)
             )
 
-    # What the parser finds. What follows the first call is passed over.
+    # Callbacks of the parser. Requests after the first are ignored.
 
     def on_url(self, url: bytes) -> None:
         if not self.request_complete:
@@ -130,6 +138,7 @@
         self.request_complete = True
 
     def send_response(self, status: int, text: str, extra_headers: bytes = b"") -> None:
+        """Send the only response of this connection and close it."""
         if self.call_ended:
             return
         self.end_call()
--- a/flaxstep/proxy/config.py
+++ b/flaxstep/proxy/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the ROUTER_* variables and the JSON file that they name."""
+"""The configuration of a node: the ROUTER_* environment variables, and the JSON file that they name."""
 
 from __future__ import annotations
 
@@ -18,40 +18,44 @@
 
 
 class ConfigError(Exception):
-    """A configuration that a node can't start with: what is wrong, in one line."""
+    """An invalid configuration. The message says in one line what is wrong."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of one node, as read at its start."""
+
     name: str
     listen: Address
     discovery: Address
-    admin: Address | None  # where operators call; None: nowhere
-    shared: Path | None  # the folder that a successor shares; None: there is none
+    admin: Address | None  # of the admin port; None: there is none
+    shared: Path | None  # the folder with the state shared by the node's processes; None: no such state
     seed: int
-    sockets: int  # file descriptors that the process may hold
-    memory_mb: int  # over this much the process is killed
-    known: dict[str, Any]  # the server list as this node last had it; empty: none
+    sockets: int  # limit of file descriptors of the process
+    memory_mb: int  # limit of memory; over it the process is killed
+    known: dict[str, Any]  # the server list that the node had before its start; empty: none
     settings: Settings
-    classes: dict[bytes, int]  # numbers of the names, in the order of the settings
+    # From names in the settings to their positions there.
+    classes: dict[bytes, int]
     tenants: dict[bytes, int]
     kinds: dict[str, int]
     zones: dict[str, int]
-    dial_timeout_ms: float  # ms
-    idle_timeout_ms: float  # ms after which a server closes a connection that carries nothing
-    log_level: int = logging.INFO  # DEBUG: also a line for each attempt, answer and closed connection
+    dial_timeout_ms: float
+    idle_timeout_ms: float  # after which servers close idle connections
+    log_level: int = logging.INFO  # DEBUG adds a line for each attempt, response and closed connection
 
 
 def parse_address(text: str) -> Address:
+    """Return the host and port of `host:port`; raise ValueError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no host:port")
+        raise ValueError(f"{text!r} is not host:port")
     return host, int(port)
 
 
 @contextmanager
 def _one_line_errors(path: str) -> Iterator[None]:
-    """Whatever is wrong with the file, as one line."""
+    """Turn each error in reading the file into a ConfigError of one line."""
     try:
         yield
     except OSError as error:
@@ -63,7 +67,7 @@
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The node's configuration. The variables win over what the file repeats of them."""
+    """Read the node's configuration. Environment variables override the same values in the file."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
@@ -94,6 +98,7 @@
 
 
 def read_log_level(text: Any) -> int:
+    """Return the level of the logging module for a name in LEVELS; raise ValueError for any other."""
     level = LEVELS.get(str(text).lower())
     if level is None:
         raise ValueError(f"log_level is {text!r}, not one of {', '.join(LEVELS)}")
@@ -101,6 +106,9 @@
 
 
 def read_discovery(path: str) -> Address:
-    """Where discovery is now. Only the file can tell: the variables are those of the start."""
+    """Read the address of discovery again.
+
+    Only the file is read, as the environment variables can't have changed since the start.
+    """
     with _one_line_errors(path):
         return parse_address(json.loads(Path(path).read_bytes())["discovery"])
--- a/flaxstep/proxy/connection_close.py
+++ b/flaxstep/proxy/connection_close.py
@@ -1,4 +1,4 @@
-"""What both doors write in the same way: status lines, and the end of a connection."""
+"""Status lines, and ways to close or abort a connection, for clients, servers and the admin port."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from contextlib import suppress
 from http import HTTPStatus
 
-LINGER_TIMEOUT_S = 1.0  # s to discard what still comes after an answer that ends the connection
-WRITE_STALL_TIMEOUT_S = 5.0  # s without taking a byte of that answer after which the rest of it is given up
+LINGER_TIMEOUT_S = 1.0  # how long input is discarded after the last response
+WRITE_STALL_TIMEOUT_S = 5.0  # without a byte of that response sent, the rest of it is given up
 
 STATUS_LINES = {
     status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Length: ".encode()
@@ -19,10 +19,11 @@
 
 
 def close_after_response(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
-    """End a connection after its last answer.
+    """Close a connection after its last response (a lingering close).
 
-    A plain close with bytes unread would reset it under that answer, so first only the sending ends: what
-    still comes is read and thrown away until the other side has closed too, or has had its time for that.
+    A plain close with unread input would reset the connection, and the client could lose the response. So
+    only the sending side is closed first. Input is read and discarded until the client closes too or
+    LINGER_TIMEOUT_S has passed.
     """
     if transport.is_closing() or not transport.can_write_eof():
         transport.close()
@@ -34,7 +35,10 @@
 def _linger(
     loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, unsent_bytes: int, unchanged_since: float
 ) -> None:
-    """Wait on while the other side still takes what was written: `unsent_bytes` since `unchanged_since`."""
+    """Abort the connection once it has lingered, or once its client has stopped reading the response.
+
+    `unsent_bytes` have been left in the write buffer since the loop time `unchanged_since`.
+    """
     if transport.is_closing():
         return
     now_unsent_bytes = transport.get_write_buffer_size()
@@ -47,14 +51,14 @@
 
 
 def poll_unread_input(descriptor: int) -> select.poll:
-    """What tells, when asked, of all that has come and the loop has not read: a byte, an end or a reset."""
+    """Return a poll object that reports input the loop has not read yet: bytes, end of stream or reset."""
     poller = select.poll()
     poller.register(descriptor, select.POLLIN | select.POLLRDHUP)
     return poller
 
 
 def abort_immediately(transport: asyncio.Transport) -> None:
-    """End a connection in this very step: the transport's own end waits for the loop's next turn."""
+    """Close a connection within this call: the transport itself would close it in the loop's next turn."""
     connection_socket = transport.get_extra_info("socket")
     if connection_socket is not None and not transport.is_closing():
         duplicate = socket.socket(
@@ -64,7 +68,7 @@
             fileno=connection_socket.fileno(),
         )
         try:
-            with suppress(OSError):  # the other side may have ended it
+            with suppress(OSError):  # the other side may have closed it
                 duplicate.shutdown(socket.SHUT_WR)
         finally:
             duplicate.detach()  # the descriptor stays the transport's
@@ -72,7 +76,7 @@
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """End a connection so that the other side can tell it from an orderly end."""
+    """Abort a connection with a TCP reset, which the other side can tell from an orderly close."""
     connection_socket = transport.get_extra_info("socket")
     if connection_socket is not None and not transport.is_closing():
         connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/flaxstep/proxy/event_log.py
+++ b/flaxstep/proxy/event_log.py
@@ -1,7 +1,7 @@
 """Log lines about single requests, attempts and connections: `event=NAME key=value ...`.
 
-They are written at the level DEBUG, which `log_level` in the configuration or ROUTER_LOG_LEVEL asks for. At
-the usual level a call costs one comparison.
+They are written at the level DEBUG, which `log_level` in the configuration or ROUTER_LOG_LEVEL selects. At
+other levels a call only checks the level.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 def log_event(name: str, **fields: object) -> None:
-    """Write one line, if lines about single events are wanted."""
+    """Log an event with its fields at the level DEBUG."""
     if log.isEnabledFor(logging.DEBUG):
         pairs = [f"{key}={format_value(value)}" for key, value in fields.items()]
         log.debug("%s", " ".join([f"event={name}", *pairs]))
 
 
 def format_value(value: object) -> str:
-    """A value as it stands in a line: without white space, fractions to three places."""
+    """Format a value as one word: floats with three decimals, text quoted and escaped where needed."""
     if isinstance(value, float):
         return f"{value:.3f}"
     if isinstance(value, bytes):
--- a/flaxstep/proxy/request_bodies.py
+++ b/flaxstep/proxy/request_bodies.py
@@ -1,70 +1,77 @@
-"""Bodies in hand: what may be held of them, and a request's body on its way to a server."""
+"""The memory budget for bodies, and the forwarding of a request's body while it arrives."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-BUFFERED_BODY_BYTES = 65536  # bytes up to which a body is held whole
-MIN_BODY_SHARE_BYTES = 4096  # bytes of a body that never have to be counted
-MAX_REQUEST_BODY_BYTES = 32 << 20  # bytes of a request's body
+BUFFERED_BODY_BYTES = 65536  # up to this size a body is buffered whole
+MIN_BODY_SHARE_BYTES = 4096  # bodies up to this size are not counted in the budget
+MAX_REQUEST_BODY_BYTES = 32 << 20  # larger requests are rejected
 
 
 class BodyBudget:
-    """One budget for the bodies in hand over all connections: the more there are, the less is held."""
+    """The memory budget that the bodies of all connections share: the more bodies, the less of each."""
 
     def __init__(self, total_bytes: int) -> None:
         self.total_bytes = total_bytes
         self.body_count = 0
-        self.buffer = bytearray(BUFFERED_BODY_BYTES)  # what every connection reads into, one after the other
+        self.buffer = bytearray(BUFFERED_BODY_BYTES)  # all connections read into it, one after the other
 
     @property
     def share_bytes(self) -> int:
-        """Bytes to hold of one body."""
+        """Bytes of one body that may be buffered."""
         return min(
             max(self.total_bytes // max(self.body_count, 1), MIN_BODY_SHARE_BYTES), BUFFERED_BODY_BYTES
         )
 
     def read_buffer(self) -> memoryview:
+        """The part of the shared buffer for one read: no read exceeds the share of a body."""
         return memoryview(self.buffer)[: self.share_bytes]
 
 
 class UploadSource(Protocol):
-    """The client that sends a body."""
+    """The connection of the client that sends a body."""
 
     def pause_upload(self, pause: bool) -> None:
-        """Read no more of it, or read on."""
+        """Stop reading the body, or read on."""
 
 
 class UploadSink(Protocol):
-    """The connection to the server that gets it."""
+    """The connection to the server that receives a body."""
 
     def write_chunk(self, data: bytes) -> None:
-        """Write a part."""
+        """Write a part of the body."""
 
     def finish_body(self) -> None:
-        """The whole body has come."""
+        """Write the end of the body: all of it has been written."""
 
     def abort_body(self) -> None:
-        """The rest will never come."""
+        """Give up the request: the client will not send the rest of the body."""
 
 
 class Upload:
-    """A request's body that is passed on as it comes. Pauses bound what is held while no server takes it."""
+    """A request's body that is forwarded while it arrives.
+
+    Until a server is attached, parts are buffered, and the source is paused once they reach the share of a
+    body. `partly_sent` means that a server has received some of the body, so it can't be sent again.
+    """
 
     def __init__(
         self, source: UploadSource, body_budget: BodyBudget, length: int | None, first_part: bytes
     ) -> None:
         self.source = source
         self.body_budget = body_budget
-        self.length = length  # None: it comes in chunks
+        self.length = length  # Content-Length; None: chunked
         self.buffered_parts = [first_part] if first_part else []
         self.buffered_bytes = len(first_part)
         self.sink: UploadSink | None = None
-        self.partly_sent = False  # a server has got some of it: it can't be sent again
-        self.complete = self.discarding = False  # the last byte has come; nobody wants the rest
-        self.response_sent = False  # as the request has its answer
+        self.partly_sent = False
+        # Whether the last byte has arrived, and whether what still arrives is discarded.
+        self.complete = self.discarding = False
+        self.response_sent = False  # the response was sent before the end of the body
 
     def feed(self, data: bytes) -> None:
+        """Forward or buffer a part of the body that has arrived."""
         if self.discarding:
             return
         if self.sink is not None:
@@ -76,12 +83,13 @@
             self.source.pause_upload(True)
 
     def finish(self) -> None:
+        """Note that the body has arrived completely."""
         self.complete = True
         if self.sink is not None:
             self.sink.finish_body()
 
     def attach(self, sink: UploadSink) -> None:
-        """A server takes it from here."""
+        """Write what is buffered to a server's connection, and forward the rest to it."""
         self.sink, self.partly_sent = sink, True
         parts, self.buffered_parts, self.buffered_bytes = self.buffered_parts, [], 0
         for data in parts:
@@ -92,17 +100,17 @@
             self.source.pause_upload(False)
 
     def detach(self) -> None:
-        """That server takes no more of it."""
+        """Forward no more to the attached server; the body may be attached to another if unsent."""
         self.sink = None
 
     def discard_rest(self) -> None:
-        """The request has its answer: what still comes is read and thrown away."""
+        """Read and discard what still arrives, because the response has been sent."""
         self.discarding, self.response_sent, self.sink = True, True, None
         self.buffered_parts.clear()
         self.source.pause_upload(False)
 
     def abort(self) -> None:
-        """The client sends no more of it."""
+        """Abort the attempt on the attached server, as the client sends no more of the body."""
         sink, self.discarding, self.sink = self.sink, True, None
         self.buffered_parts.clear()
         if sink is not None and not self.complete:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ({"listen": "127.0.0.1"}, "no host:port"),
+        ({"listen": "127.0.0.1"}, "not host:port"),
         ({"seed": "xyz"}, "xyz"),
         ({"known": "none"}, "dictionary"),
         ({"settings": {}}, "Allowed"),
@@ -141,7 +141,7 @@
             for broken in ("not JSON", "[]", "{}", '{"discovery": 7}', '{"discovery": "nowhere"}'):
                 path.write_text(broken)
                 node.send_signal(signal.SIGHUP)
-                while "configuration not taken over" not in await log_line(node):
+                while "configuration not reloaded" not in await log_line(node):
                     pass
             path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.send_signal(signal.SIGHUP)
