--- a/flaxstep/proxy/admin.py
+++ b/flaxstep/proxy/admin.py
@@ -51,7 +51,7 @@
             return 404, "unknown path", b""
         allowed_method, call = self.calls[path]
         if method != allowed_method:
-            return 405, f"the method must be {allowed_method.decode()}", b"Allow: %b\r\n" % allowed_method
+            return 405, f"{allowed_method.decode()} is required", b"Allow: %b\r\n" % allowed_method
         if body and allowed_method == b"GET":
             return 400, "this call takes no body", b""
         try:
