--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -21,7 +21,7 @@
             await asyncio.sleep(0.01)
 
 
-def test_without_an_address_there_is_no_door() -> None:
+def test_no_admin_port_without_address() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert stand.node.door is None
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("data", "status"), REFUSED, ids=range(len(REFUSED)))
-def test_a_bad_call_gets_the_fitting_no(data: bytes, status: int) -> None:
+def test_invalid_call_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
         async with running(await Peer().start(), admin=DOOR) as stand:
             caller = await stand.caller()
@@ -62,7 +62,7 @@
     run(test())
 
 
-def test_a_call_that_fails_is_answered_and_logged(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_call_gets_500_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     def broken(_: bytes) -> admin.Reply:
         raise RuntimeError("broken on purpose")
 
@@ -73,7 +73,7 @@
     assert "broken on purpose" in caplog.text
 
 
-def test_callers_that_stall_starve_nobody_and_are_told_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_callers_get_408_and_block_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
@@ -89,7 +89,7 @@
     run(test())
 
 
-def test_a_call_may_come_in_pieces_and_only_the_first_on_a_connection_counts() -> None:
+def test_call_may_arrive_in_parts_and_only_first_is_served() -> None:
     async def test() -> None:
         async with running(await Peer().start(), admin=DOOR) as stand:
             caller = await stand.caller()
@@ -104,7 +104,7 @@
     run(test())
 
 
-def test_health_at_the_door_waits_for_a_list() -> None:
+def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
         async with running(admin=DOOR, known={}) as stand:
             stand.node.healthy = False  # as before the first list
@@ -113,7 +113,7 @@
     run(test())
 
 
-def test_quiesce_empties_the_node_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_quiesce_drains_node_without_losing_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "DRAIN_GRACE_FOR_NEW_S", 0.1)
     release = asyncio.Event()
 
@@ -156,7 +156,7 @@
     run(test())
 
 
-def test_sigterm_ends_a_quiesced_node_and_leaves_no_way_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_ends_quiesced_node_and_rejects_resume(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
 
     async def test() -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_a_large_request_goes_on_unchanged_and_while_it_still_comes(form: str) -> None:
+def test_large_request_body_is_forwarded_unchanged_while_it_arrives(form: str) -> None:
     async def test() -> None:
         async with taking() as (stand, taker):
             client = await stand.client()
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("form", ANSWERS)
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
-def test_a_large_answer_reaches_the_client_unchanged(form: str, version: bytes) -> None:
+def test_large_response_is_forwarded_unchanged(form: str, version: bytes) -> None:
     async def end_after(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(ANSWERS[form])
         if form == "close":
@@ -163,7 +163,7 @@
     run(test())
 
 
-def test_a_short_answer_that_its_connection_ends_is_whole() -> None:
+def test_short_response_ended_by_close_is_complete() -> None:
     async def close(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\ndone")
         writer.close()
@@ -178,7 +178,7 @@
     run(test())
 
 
-def test_the_first_bytes_are_not_held_back_for_the_rest() -> None:
+def test_first_response_bytes_are_not_delayed_until_the_end() -> None:
     rest = asyncio.Event()
 
     async def slowly(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize("form", ANSWERS)
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
-def test_a_break_in_an_answer_that_has_begun_is_seen_by_the_client(form: str, version: bytes) -> None:
+def test_client_sees_truncated_response(form: str, version: bytes) -> None:
     async def break_off(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(ANSWERS[form][: len(BIG) // 2])
         await asyncio.sleep(0.1)  # it goes out before the reset throws away what has not
@@ -228,7 +228,7 @@
     run(test())
 
 
-def test_a_slow_reader_holds_up_its_server_and_not_the_node() -> None:
+def test_slow_client_pauses_its_server_and_node_buffers_little() -> None:
     written = [0]
 
     async def pour(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -266,7 +266,7 @@
     run(test())
 
 
-def test_a_server_that_takes_nothing_holds_up_its_client_and_not_the_node() -> None:
+def test_slow_server_pauses_its_client_and_node_buffers_little() -> None:
     async def test() -> None:
         async with taking() as (stand, taker):
             taker.go.clear()
@@ -287,7 +287,7 @@
     run(test())
 
 
-def test_a_server_that_never_takes_the_rest_is_given_up_and_the_request_has_not_run(
+def test_server_that_stops_reading_body_is_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
@@ -308,7 +308,7 @@
     run(test())
 
 
-def test_a_server_that_ends_before_the_last_byte_has_not_run_the_request() -> None:
+def test_server_that_closes_during_upload_is_unreachable() -> None:
     async def test() -> None:
         async with taking(attempts=3) as (stand, taker):
             client = await stand.client()
@@ -323,7 +323,7 @@
     run(test())
 
 
-def test_an_early_no_reaches_the_client_and_the_rest_of_the_body_is_thrown_away() -> None:
+def test_early_rejection_reaches_client_and_rest_of_body_is_discarded() -> None:
     async def full(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             await reader.readuntil(b"\r\n\r\n")
@@ -346,7 +346,7 @@
     run(test())
 
 
-def test_a_client_that_breaks_off_its_body_costs_no_server_its_name() -> None:
+def test_aborted_upload_does_not_count_against_server() -> None:
     async def test() -> None:
         async with taking() as (stand, taker):
             client = await stand.client()
@@ -368,7 +368,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_body_that_turns_out_malformed_is_told_and_reaches_no_server_whole(may_cancel: bool) -> None:
+def test_malformed_chunked_body_gets_400_and_cancels_attempt(may_cancel: bool) -> None:
     async def test() -> None:
         async with taking() as (stand, taker):
             object.__setattr__(stand.node.policy.settings, "may_cancel", may_cancel)
@@ -384,7 +384,7 @@
     run(test())
 
 
-def test_a_body_that_stalls_is_given_up_and_one_that_is_slow_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_body_gets_408_and_slow_body_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.4)
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 400_000)
 
@@ -405,9 +405,7 @@
 
 
 @pytest.mark.parametrize("stalls", [False, True])
-def test_a_first_request_has_its_time_by_what_comes_of_its_body(
-    monkeypatch: pytest.MonkeyPatch, stalls: bool
-) -> None:
+def test_body_rate_extends_timeout_of_first_request(monkeypatch: pytest.MonkeyPatch, stalls: bool) -> None:
     for name in ("REQUEST_TIMEOUT_S", "FIRST_REQUEST_TIMEOUT_S"):
         monkeypatch.setattr(client_connections, name, 0.4)
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 20_000)
@@ -423,7 +421,7 @@
     run(test())
 
 
-def test_a_large_body_waits_for_its_turn_on_its_connection() -> None:
+def test_large_pipelined_body_waits_for_earlier_request() -> None:
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -448,7 +446,7 @@
     run(test())
 
 
-def test_who_asks_first_is_told_to_go_ahead_and_who_is_refused_is_not() -> None:
+def test_100_continue_is_sent_when_accepted_but_not_when_refused() -> None:
     async def test() -> None:
         async with taking() as (stand, taker):
             client = await stand.client()
@@ -464,7 +462,7 @@
     run(test())
 
 
-def test_a_body_over_the_limit_is_told_also_where_it_comes_in_chunks(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_chunked_body_over_limit_gets_413(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "MAX_REQUEST_BODY_BYTES", 300_000)
 
     async def test() -> None:
@@ -478,7 +476,7 @@
     run(test())
 
 
-def test_an_attempt_that_gets_no_connection_leaves_the_body_for_the_next() -> None:
+def test_failed_dial_leaves_body_for_next_attempt() -> None:
     async def test() -> None:
         gone = await Peer().start()
         gone.server.close()
@@ -500,7 +498,7 @@
     run(test())
 
 
-def test_after_its_upload_a_request_has_the_time_that_its_client_gives() -> None:
+def test_timeout_of_request_starts_after_upload() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer, aim=9000.0) as stand:
@@ -512,7 +510,7 @@
     run(test())
 
 
-def test_the_more_bodies_are_in_hand_the_less_is_held_of_each() -> None:
+def test_body_share_shrinks_with_number_of_bodies() -> None:
     body_budget = BodyBudget(1 << 20)
     shares = []
     for bodies in (0, 1, 16, 32, 1000):
@@ -528,7 +526,7 @@
     ]
 
 
-def test_many_bodies_at_once_stay_within_the_budget() -> None:
+def test_many_concurrent_bodies_stay_within_budget() -> None:
     """Bodies under 64 KiB too are passed on in part where there are too many to hold them whole."""
 
     async def test() -> None:
@@ -556,7 +554,7 @@
     run(test())
 
 
-def test_an_answer_that_falls_silent_half_way_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_that_stops_half_way_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_connections, "SILENCE", 0.2)
     monkeypatch.setattr(server_connections, "SWEEP", 0.05)
 
@@ -571,7 +569,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_in_the_middle_of_an_answer_frees_everything() -> None:
+def test_client_that_disconnects_during_response_leaves_no_state_behind() -> None:
     async def pour(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
         with suppress(ConnectionError):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -162,7 +162,7 @@
 # Shutdown and closes.
 
 
-def test_what_is_read_after_the_shutdown_goes_to_no_server() -> None:
+def test_request_completed_after_last_response_is_not_forwarded() -> None:
     gate = Gate()
 
     async def test() -> None:
@@ -183,7 +183,7 @@
     run(test())
 
 
-def test_a_request_that_is_read_in_part_when_the_node_stops_is_answered() -> None:
+def test_partly_read_request_gets_response_when_node_stops() -> None:
     gate = Gate()
 
     async def test() -> None:
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("data", [request()[:30], request("book", body=b"ride")[:-2]], ids=["head", "body"])
-def test_who_has_not_sent_its_whole_request_is_told_that_the_node_ends(data: bytes) -> None:
+def test_unfinished_request_gets_503_when_node_ends(data: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -220,7 +220,7 @@
     run(test())
 
 
-def test_a_close_over_unread_bytes_is_no_reset_and_they_go_to_no_server() -> None:
+def test_close_with_unread_request_does_not_reset_or_forward() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -239,7 +239,7 @@
     run(test())
 
 
-def test_an_answer_that_its_client_reads_slowly_outlasts_the_end_of_the_connection(
+def test_slowly_read_response_is_complete_despite_close(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.0)
@@ -274,7 +274,7 @@
 
 
 @LEAVES
-def test_a_client_that_leaves_while_it_is_not_read_is_noticed(leave: Leave) -> None:
+def test_client_disconnect_is_detected_while_reading_is_paused_for_queue(leave: Leave) -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -292,7 +292,7 @@
 
 
 @LEAVES
-def test_a_client_that_leaves_while_its_body_is_held_up_is_noticed(leave: Leave) -> None:
+def test_client_disconnect_is_detected_while_reading_is_paused_for_upload(leave: Leave) -> None:
     async def test() -> None:
         peer = await Peer().start()
         taken = asyncio.Event()
@@ -327,9 +327,7 @@
 
 @LEAVES
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_a_request_whose_client_leaves_before_its_connection_is_up_is_not_sent(
-    may_cancel: bool, leave: Leave
-) -> None:
+def test_request_is_not_sent_if_client_disconnects_during_dial(may_cancel: bool, leave: Leave) -> None:
     async def test() -> None:
         door = Door()
         peer = Peer()
@@ -354,7 +352,7 @@
     run(test())
 
 
-def test_an_unread_end_of_stream_behind_a_request_means_that_its_client_has_left() -> None:
+def test_end_of_stream_behind_partial_request_withdraws_earlier_request() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -371,7 +369,7 @@
 # Retries.
 
 
-def test_a_keyed_repeat_whose_window_runs_out_while_its_connection_comes_up_is_not_sent() -> None:
+def test_keyed_retry_is_not_sent_if_its_window_expires_during_dial() -> None:
     async def test() -> None:
         door, first = Door(), await Peer(answer(b"no HTTP at all\r\n\r\n")).start()
         second = Peer()
@@ -406,7 +404,7 @@
     run(test())
 
 
-def test_the_attempt_that_is_given_up_ends_before_the_next_is_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_attempt_is_closed_before_next_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_connections, "REST", 0.0)
     seen: list[bytes] = []
 
@@ -447,7 +445,7 @@
 # Idle connections.
 
 
-def test_a_second_answer_that_comes_late_is_nobodys() -> None:
+def test_late_second_response_is_not_used_for_next_request() -> None:
     """It lies behind the first; the next request must not meet it, nor the end of a connection."""
     name = b"the first's"
     late = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name)
@@ -467,7 +465,7 @@
     run(test())
 
 
-def test_a_request_that_ends_while_its_connection_rests_is_not_sent_and_leaves_it() -> None:
+def test_request_withdrawn_during_reuse_delay_is_not_sent_and_keeps_connection() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -489,7 +487,7 @@
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
-def test_a_server_that_drains_while_a_connection_comes_up_costs_no_wait(state: str) -> None:
+def test_request_is_retried_at_once_if_server_drains_during_dial(state: str) -> None:
     async def test() -> None:
         door, peer = Door(), Peer()
         peer.port = door.port
@@ -514,7 +512,7 @@
     run(test())
 
 
-def test_a_retry_may_go_to_an_endpoint_that_the_same_list_adds() -> None:
+def test_retry_may_use_endpoint_added_by_same_list() -> None:
     async def test() -> None:
         door, peer = Door(), Peer()
         peer.port = door.port
@@ -533,7 +531,7 @@
     run(test())
 
 
-def test_a_server_that_drains_while_its_connection_rests_gets_nothing() -> None:
+def test_server_that_drains_during_reuse_delay_gets_no_request() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -564,7 +562,7 @@
 
 
 @pytest.mark.parametrize("happen", [end_of_stream, half_a_line, reset_now])
-def test_what_came_on_an_idle_connection_and_is_not_read_yet_is_seen(
+def test_unread_input_on_idle_connection_prevents_reuse(
     happen: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server_connections, "REST", 0.0)
@@ -591,7 +589,7 @@
 # Answers.
 
 
-def test_the_end_of_an_answer_from_a_server_that_is_gone_is_no_failure(
+def test_response_of_removed_server_still_completes(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     gate = Gate()
@@ -623,7 +621,7 @@
 
 
 @pytest.mark.parametrize("how", [reset_now, socket.socket.close], ids=["reset", "end of stream"])
-def test_an_answer_without_a_length_ends_with_its_stream_and_not_with_a_reset(
+def test_response_without_length_ends_with_end_of_stream_not_reset(
     how: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server_connections, "HOLD", 60.0)
@@ -648,7 +646,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 1, 40], ids=["whole", "bytes", "pieces"])
-def test_lists_may_come_indented_and_in_pieces(cut: int) -> None:
+def test_lists_may_be_indented_and_arrive_in_parts(cut: int) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -672,7 +670,7 @@
     run(test())
 
 
-def test_a_list_counts_though_the_end_of_its_line_never_comes() -> None:
+def test_list_without_line_end_is_used() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -683,7 +681,7 @@
     run(test())
 
 
-def test_what_was_cut_in_mid_line_is_asked_for_again() -> None:
+def test_truncated_list_line_is_requested_again() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -700,7 +698,7 @@
     run(test())
 
 
-def test_a_list_whose_rest_never_comes_is_fetched_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_list_is_replaced_by_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "PART_TIME", 0.05)
 
     async def test() -> None:
@@ -712,13 +710,13 @@
     run(test())
 
 
-def test_a_silent_watch_is_opened_anew_in_time_for_a_call_that_waits_its_turn() -> None:
+def test_silent_watch_timeouts_leave_time_for_delayed_call() -> None:
     # Told 6 s after it fell silent, 0.5 s more for drains; a call waits 3 s before discovery fails it.
     assert discovery.BEAT + 0.5 <= discovery.SILENCE <= 6.0 + 0.5 - 3.0 - discovery.RETRY_FIRST * 1.5
     assert discovery.ANSWER_TIME > 3.0
 
 
-def test_a_client_that_leaves_just_as_room_is_made_holds_up_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_eviction_skips_client_that_is_disconnecting(monkeypatch: pytest.MonkeyPatch) -> None:
     # Its transport closes a turn later; until then it was the longest idle one, closed again and again.
     looks, limit = 0, 2
     evict_connection = client_connections.Listener.evict_connection
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -24,11 +24,11 @@
         ("a\nb", '"a\\nb"'),
     ],
 )
-def test_a_value_is_one_word(value: object, written: str) -> None:
+def test_value_is_formatted_as_one_word(value: object, written: str) -> None:
     assert format_value(value) == written
 
 
-def test_lines_about_single_events_are_written_only_when_asked_for(caplog: pytest.LogCaptureFixture) -> None:
+def test_events_are_logged_only_at_debug_level(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "flaxstep.proxy.events")
     log_event("attempt_sent", request=b"a1")
     assert not caplog.records
@@ -38,11 +38,11 @@
 
 
 @pytest.mark.parametrize(("words", "level"), [("debug", logging.DEBUG), ("INFO", logging.INFO)])
-def test_a_log_level_is_a_name(words: str, level: int) -> None:
+def test_log_level_is_read_from_its_name(words: str, level: int) -> None:
     assert read_log_level(words) == level
 
 
-def test_an_unknown_log_level_is_told_with_those_there_are() -> None:
+def test_unknown_log_level_error_lists_valid_levels() -> None:
     with pytest.raises(ValueError, match="'loud', not one of debug, info, warning, error"):
         read_log_level("loud")
 
@@ -50,7 +50,7 @@
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
-def test_one_request_can_be_followed_from_its_send_to_its_refusal(caplog: pytest.LogCaptureFixture) -> None:
+def test_request_id_appears_in_events_up_to_refusal(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
 
     async def test() -> None:
@@ -72,7 +72,7 @@
     assert "result=full" in lines[3] and "cause=attempts" in lines[4] and "status=503" in lines[5]
 
 
-def test_a_call_to_discovery_tells_how_it_ended(caplog: pytest.LogCaptureFixture) -> None:
+def test_end_of_discovery_call_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "flaxstep.proxy")
 
     async def test() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -53,7 +53,7 @@
     uvloop.run(test)
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
         typed = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
         peer = await Peer(answer(typed)).start()
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_a_target_in_absolute_form_reaches_the_server_as_a_path() -> None:
+def test_absolute_form_target_is_forwarded_as_path() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -87,7 +87,7 @@
     run(test())
 
 
-def test_ids_are_the_same_at_every_node_and_start() -> None:
+def test_stable_id_does_not_depend_on_node_or_start() -> None:
     assert stable_id(b"s-5be2a07c") == 0x850D21AD14919D0C
 
 
@@ -112,7 +112,7 @@
         (hang_up, Result.RESET),
     ],
 )
-def test_outcomes(script: Script, result: Result) -> None:
+def test_attempt_results_and_response_statuses(script: Script, result: Result) -> None:
     async def test() -> None:
         async with running(await Peer(script).start()) as stand:
             client = await stand.client()
@@ -125,7 +125,7 @@
     run(test())
 
 
-def test_a_server_that_refuses_connections_is_unreachable() -> None:
+def test_refused_connection_makes_server_unreachable() -> None:
     async def test() -> None:
         peer = await Peer().start()
         peer.server.close()
@@ -136,7 +136,7 @@
     run(test())
 
 
-def test_a_server_whose_address_is_none_is_unreachable() -> None:
+def test_invalid_address_makes_server_unreachable() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -147,7 +147,7 @@
     run(test())
 
 
-def test_a_silent_server_times_out_and_its_connection_is_closed() -> None:
+def test_silent_server_times_out_and_connection_is_closed() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer, aim=1000.0) as stand:
@@ -158,7 +158,7 @@
     run(test())
 
 
-def test_an_unsafe_request_that_may_have_run_is_neither_resent_nor_refused() -> None:
+def test_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() -> None:
     async def test() -> None:
         peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
@@ -169,7 +169,7 @@
     run(test())
 
 
-def test_a_server_that_drains_while_a_dial_is_on_gets_nothing() -> None:
+def test_server_that_drains_during_dial_gets_no_request() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -193,7 +193,7 @@
     run(test())
 
 
-def test_a_restart_leaves_the_old_connections_unused() -> None:
+def test_connections_from_before_server_restart_are_not_reused() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -208,7 +208,7 @@
     run(test())
 
 
-def test_servers_that_are_gone_are_forgotten_and_may_come_back() -> None:
+def test_removed_servers_are_forgotten_and_can_be_listed_again() -> None:
     async def test() -> None:
         peer, other = await Peer().start(), await Peer().start()
         async with running(peer) as stand:
@@ -227,7 +227,7 @@
     run(test())
 
 
-def test_a_connection_with_stray_bytes_is_not_used_again() -> None:
+def test_connection_with_extra_bytes_after_response_is_not_reused() -> None:
     async def test() -> None:
         peer = await Peer(answer(OK + OK)).start()
         async with running(peer) as stand:
@@ -239,7 +239,7 @@
     run(test())
 
 
-def test_a_connection_is_used_again() -> None:
+def test_server_connection_is_reused() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -251,7 +251,7 @@
     run(test())
 
 
-def test_a_client_that_goes_away_frees_everything() -> None:
+def test_disconnected_client_leaves_no_state_behind() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -268,7 +268,7 @@
     run(test())
 
 
-def test_a_cancelled_dial_leaves_no_connection_behind() -> None:
+def test_cancelled_dial_leaves_no_connection_behind() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -289,7 +289,7 @@
     run(test())
 
 
-def test_a_cancel_just_as_the_connection_is_up_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancel_at_connection_made_closes_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     made = ServerConnection.connection_made
 
     def cancelled_then(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
@@ -310,7 +310,7 @@
     run(test())
 
 
-def test_bytes_on_an_idle_connection_end_it(caplog: pytest.LogCaptureFixture) -> None:
+def test_bytes_on_idle_server_connection_close_it(caplog: pytest.LogCaptureFixture) -> None:
     writers: list[asyncio.StreamWriter] = []
 
     async def keep(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -331,7 +331,7 @@
     run(test())
 
 
-def test_a_request_for_an_upgrade_is_served_as_any_other_and_the_last() -> None:
+def test_upgrade_request_is_served_as_last_request_of_connection() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -343,7 +343,7 @@
     run(test())
 
 
-def test_the_module_is_told_what_the_client_says_of_a_request() -> None:
+def test_policy_gets_class_tenant_key_hint_and_retry_mark() -> None:
     async def test() -> None:
         async with running(await Peer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
             client = await stand.client()
@@ -360,7 +360,7 @@
     run(test())
 
 
-def test_white_space_round_a_header_is_no_part_of_it() -> None:
+def test_white_space_around_header_values_is_removed() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, tenants={b"acme": 0}) as stand:
@@ -374,7 +374,7 @@
     run(test())
 
 
-def test_time_is_kept_back_for_the_way_to_the_client() -> None:
+def test_forwarded_timeout_leaves_margin_for_response() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -385,7 +385,7 @@
     run(test())
 
 
-def test_little_of_a_short_time_is_kept_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_margin_is_small_for_short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "now_ms", lambda: 1000.0)
 
     async def test() -> None:
@@ -398,7 +398,7 @@
     run(test())
 
 
-def test_pipelined_requests_are_answered_in_order() -> None:
+def test_pipelined_requests_get_responses_in_order() -> None:
     async def echo(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
@@ -413,7 +413,7 @@
     run(test())
 
 
-def test_pipelined_requests_are_all_answered_when_the_node_stops() -> None:
+def test_pipelined_requests_all_get_responses_when_node_stops() -> None:
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -436,7 +436,7 @@
     run(test())
 
 
-def test_many_answers_at_once_do_not_nest() -> None:
+def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             await asyncio.wait_for(stand.node.told.wait(), WAIT)  # else it is not ready yet
@@ -481,7 +481,7 @@
 
 
 @pytest.mark.parametrize(("data", "status", "ends"), BAD, ids=range(len(BAD)))
-def test_bad_input_is_told_and_goes_to_no_server(data: bytes, status: int, ends: bool) -> None:
+def test_invalid_request_is_rejected_and_not_forwarded(data: bytes, status: int, ends: bool) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -496,7 +496,7 @@
     run(test())
 
 
-def test_an_exception_in_the_policy_costs_its_request_alone(caplog: pytest.LogCaptureFixture) -> None:
+def test_policy_exception_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -527,7 +527,7 @@
     ],
     ids=range(6),
 )
-def test_a_malformed_line_leaves_the_list_and_brings_a_whole_one(line: bytes) -> None:
+def test_malformed_watch_line_keeps_list_and_fetches_full_list(line: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -542,7 +542,7 @@
     run(test())
 
 
-def test_a_watch_that_ends_is_opened_again_where_it_was() -> None:
+def test_ended_watch_resumes_at_its_version() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -556,7 +556,7 @@
     run(test())
 
 
-def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "SILENCE", 0.05)
 
     async def test() -> None:
@@ -569,7 +569,7 @@
     run(test())
 
 
-def test_a_client_that_waits_for_a_go_ahead_gets_it() -> None:
+def test_expect_continue_gets_100_response() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -580,7 +580,7 @@
     run(test())
 
 
-def test_health_waits_for_a_list() -> None:
+def test_health_check_fails_without_list() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, known={}) as stand:
@@ -594,7 +594,7 @@
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked for"])
-def test_a_restarted_node_where_lists_are_pushed_waits_a_moment_for_the_first(
+def test_restarted_node_with_pushed_lists_waits_for_first_list(
     asks: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -628,7 +628,7 @@
     run(test())
 
 
-def test_a_late_answer_reaches_the_policy_and_not_the_client() -> None:
+def test_late_outcome_reaches_policy_but_not_client() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -644,7 +644,7 @@
     run(test())
 
 
-def test_a_client_with_too_little_time_is_refused_at_once() -> None:
+def test_request_with_too_short_timeout_is_refused_at_once() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -654,7 +654,7 @@
     run(test())
 
 
-def test_a_keyed_request_that_may_have_run_is_sent_again_with_its_key() -> None:
+def test_keyed_request_that_may_have_run_is_retried_with_its_key() -> None:
     async def test() -> None:
         peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
@@ -669,7 +669,7 @@
     run(test())
 
 
-def test_a_connection_that_was_idle_for_too_long_is_not_used() -> None:
+def test_server_connection_idle_for_too_long_is_not_reused() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, idle_timeout_ms=0.0) as stand:
@@ -681,7 +681,7 @@
     run(test())
 
 
-def test_connections_that_servers_end_early_are_not_used_for_as_long(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_limit_shrinks_when_servers_close_earlier(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [1000.0]
     for module in (client_connections, node, server_connections):
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
@@ -707,7 +707,7 @@
     run(test())
 
 
-def test_resets_at_any_age_leave_the_idle_limit_and_old_ones_are_forgotten() -> None:
+def test_resets_at_every_idle_time_keep_idle_limit_and_old_ones_expire() -> None:
     limit = IdleLimit(28000.0)
     for step in range(400):
         limit.note(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
@@ -720,7 +720,7 @@
     assert limit.ms == 28000.0
 
 
-def test_near_the_descriptor_limit_the_longest_idle_client_makes_room() -> None:
+def test_longest_idle_client_is_evicted_at_descriptor_limit() -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
@@ -737,7 +737,7 @@
 
 
 @pytest.mark.parametrize("ask", [False, True])
-def test_a_crowd_stays_under_the_descriptor_limit_also_with_those_told_of_their_end(ask: bool) -> None:
+def test_lingering_connections_count_against_descriptor_limit(ask: bool) -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
             listener, most = stand.node.listener, 0
@@ -765,7 +765,7 @@
     run(test())
 
 
-def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_that_never_completes_gets_408(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -782,9 +782,7 @@
     [b"", b"GET /find/1 HTTP/1.1\r\nHost:", b"GET /_health HTTP/1.1\r\n\r\n", request("unknown")],
     ids=["nothing", "part", "health", "improper"],
 )
-def test_a_connection_that_brings_no_proper_request_is_ended(
-    data: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_connection_without_valid_request_is_closed(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "FIRST_REQUEST_TIMEOUT_S", 0.05)
     monkeypatch.setattr(client_connections, "SWEEP_INTERVAL_S", 0.02)
 
@@ -799,7 +797,7 @@
     run(test())
 
 
-def test_connections_that_bring_nothing_make_room_before_those_of_clients() -> None:
+def test_connections_without_valid_request_are_evicted_first() -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
@@ -815,7 +813,7 @@
     run(test())
 
 
-def test_a_client_that_writes_slowly_outlives_silent_stopped_and_idle_ones(
+def test_slow_first_request_is_evicted_after_silent_stalled_and_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connections, "FIRST_REQUEST_STALL_S", 1.0)
@@ -845,7 +843,7 @@
     run(test())
 
 
-def test_small_writes_are_not_held_back() -> None:
+def test_connections_use_tcp_nodelay() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
@@ -863,7 +861,7 @@
                                       b"Content-Length: 3", b"Request-Id: 1", b"\x00", b"a", b"Upgrade: x",
                                       b"Connection: upgrade", b"Transfer-Encoding: chunked"])
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
-def test_no_bytes_of_a_client_bring_the_node_down(data: bytes) -> None:
+def test_node_survives_any_client_input(data: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -881,7 +879,7 @@
 
 @settings(max_examples=20, derandomize=True, database=None, deadline=None)
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
-def test_a_request_may_come_in_pieces(cuts: list[int]) -> None:
+def test_request_may_arrive_in_parts(cuts: list[int]) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -50,7 +50,7 @@
         ("[]", "list"),
     ],
 )
-def test_a_bad_configuration_ends_with_one_plain_line(tmp_path: Path, change: Any, words: str) -> None:
+def test_invalid_configuration_exits_with_one_line(tmp_path: Path, change: Any, words: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(change if isinstance(change, str) else json.dumps(raw_config() | (change or {})))
     environ = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
@@ -96,7 +96,7 @@
     return line
 
 
-def test_sigterm_answers_what_is_held_and_what_still_comes(tmp_path: Path) -> None:
+def test_sigterm_serves_pending_and_new_requests(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -128,7 +128,7 @@
     uvloop.run(test(held_back))
 
 
-def test_sighup_moves_the_watch_and_ends_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_watch_and_keeps_connections(tmp_path: Path) -> None:
     async def test() -> None:
         peer, later = await Peer().start(), await Peer().start()
         first = await Agent([peer.entry()]).start()
@@ -175,7 +175,7 @@
     ids=lambda signals: " ".join(each.name for each in signals),
 )
 @pytest.mark.parametrize("ready", [True, False])
-def test_signals_in_any_order_end_a_node_once_it_has_answered(
+def test_signals_in_any_order_end_node_after_its_responses(
     tmp_path: Path, signals: tuple[signal.Signals, ...], ready: bool
 ) -> None:
     release = asyncio.Event()
@@ -215,7 +215,7 @@
     uvloop.run(test())
 
 
-def test_who_is_still_sending_when_the_node_stops_gets_an_answer_before_it_ends(tmp_path: Path) -> None:
+def test_unfinished_requests_get_responses_before_node_ends(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer().start()
         agent = await Agent([peer.entry()]).start()
