--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,13 +11,13 @@
 from tests.net import WAIT, Peer, answer_ok, field, request, running
 from tests.test_node import run
 
-DOOR = ("127.0.0.1", 0)
+ADMIN_ADDRESS = ("127.0.0.1", 0)
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
 
 
-async def until(holds: Any) -> None:
+async def wait_until(condition: Any) -> None:
     async with asyncio.timeout(WAIT):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(("data", "status"), REFUSED, ids=range(len(REFUSED)))
 def test_invalid_call_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             caller = await stand.caller()
             got, head, body = await caller.ask(data)
             assert (got, field(head, b"Connection")) == (status, b"close")
@@ -77,7 +77,7 @@
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             stalled = [await stand.caller() for _ in range(3 * admin.MAX_CONNECTIONS)]
             for caller in stalled[::2]:
                 caller.writer.write(b"POST /admin/quiesce HTTP/1.1\r\nContent-Le")
@@ -91,7 +91,7 @@
 
 def test_call_may_arrive_in_parts_and_only_first_is_served() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             caller = await stand.caller()
             data = call(b"GET /admin/health HTTP/1.1") + call(b"POST /admin/quiesce HTTP/1.1")
             for i in range(len(data)):
@@ -106,7 +106,7 @@
 
 def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
-        async with running(admin=DOOR, known={}) as stand:
+        async with running(admin=ADMIN_ADDRESS, known={}) as stand:
             stand.node.healthy = False  # as before the first list
             assert (await stand.call("GET", "health"))[0] == 503
 
@@ -123,19 +123,19 @@
 
     async def test() -> None:
         peer = await Peer(held_back).start()
-        async with running(peer, admin=DOOR) as stand:
+        async with running(peer, admin=ADMIN_ADDRESS) as stand:
             idle, holder = await stand.client(), await stand.client()
             release.set()
             assert (await idle.ask(request()))[0] == 200
             release.clear()
             holder.writer.write(request())
-            await until(lambda: len(stand.node.held) == 1)
+            await wait_until(lambda: len(stand.node.held) == 1)
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert await idle.end() == b""  # closed though nothing was asked
             late = await stand.client()  # before the front has turned away
             late.writer.write(request())
-            await until(lambda: len(stand.node.held) == 2)
+            await wait_until(lambda: len(stand.node.held) == 2)
             silent = await stand.client()
             assert (await (await stand.client()).ask(HEALTH))[0] == 503
             assert (await stand.call("GET", "health"))[0] == 503
@@ -145,7 +145,7 @@
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 assert await waiting.end() == b""
-            await until(lambda: not stand.node.listener.connections)
+            await wait_until(lambda: not stand.node.listener.connections)
             assert (await stand.call("POST", "resume"))[0] == 200
             assert (await stand.call("POST", "resume"))[0] == 200
             assert await stand.call("GET", "health") == (200, "ready\n")
@@ -160,10 +160,10 @@
     monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
 
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             assert (await stand.call("POST", "quiesce"))[0] == 200
             drain = asyncio.ensure_future(stand.node.drain())
-            await until(lambda: stand.node.stopping)
+            await wait_until(lambda: stand.node.stopping)
             assert (await stand.call("POST", "resume"))[0] == 409
             assert (await stand.call("GET", "health"))[0] == 503
             await asyncio.wait_for(drain, WAIT)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,7 @@
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Began, Outcome, Request, Result, Uploaded
 from tests.net import OK, WAIT, Client, Peer, Stand, answer, field, request, running, stay_silent
-from tests.test_admin import DOOR, until
+from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_metrics import stats
 from tests.test_node import run
 
@@ -96,7 +96,7 @@
             assert told.uploading
             head = await asyncio.wait_for(taker.head, WAIT)
             assert (field(head, b"Content-Length") is None) == (form == "chunked")
-            await until(lambda: len(taker.body) > len(BIG) // 3)  # with half of it not written yet
+            await wait_until(lambda: len(taker.body) > len(BIG) // 3)  # with half of it not written yet
             client.writer.write(data[len(data) // 2 :])
             assert (await client.answer())[2] == b"done"
             assert bytes(taker.body) == BIG
@@ -216,7 +216,7 @@
         reset_connection(cast(asyncio.Transport, writer.transport))
 
     async def test() -> None:
-        async with running(await Peer(break_off).start(), admin=DOOR) as stand:
+        async with running(await Peer(break_off).start(), admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             client.writer.write(request("book").replace(b"HTTP/1.1", version))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -239,7 +239,7 @@
             await writer.drain()
 
     async def test() -> None:
-        async with running(await Peer(pour).start(), admin=DOOR) as stand:
+        async with running(await Peer(pour).start(), admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             client.reader._limit = 1  # type: ignore[attr-defined]  # reads no further than its first bytes
             client.writer.write(request())
@@ -260,7 +260,7 @@
                     left -= len(await client.reader.read(1 << 20))
                     if not stand.node.held:
                         break
-            await until(lambda: not stand.node.held)
+            await wait_until(lambda: not stand.node.held)
             assert (await stats(stand))["results.find.succeeded"] == 1
 
     run(test())
@@ -301,7 +301,9 @@
             assert status == 503 and field(head, b"Retry-After")
             outcome = await stand.outcome()
             assert (outcome.result, outcome.spent) == (Result.UNREACHABLE, True)
-            await until(lambda: client.writer.transport.get_write_buffer_size() == 0)  # it is read to its end
+            await wait_until(
+                lambda: client.writer.transport.get_write_buffer_size() == 0
+            )  # it is read to its end
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             assert stand.node.body_budget.body_count == 0
 
@@ -314,7 +316,7 @@
             client = await stand.client()
             data = upload(BIG)
             client.writer.write(data[:-10])
-            await until(lambda: len(taker.body) > 100_000)
+            await wait_until(lambda: len(taker.body) > 100_000)
             stand.node.pool.attempts.copy().popitem()[1].connection.transport.abort()  # type: ignore[union-attr]
             status, _, _ = await client.answer()
             outcome = await stand.outcome()
@@ -351,7 +353,7 @@
         async with taking() as (stand, taker):
             client = await stand.client()
             client.writer.write(upload(BIG)[: len(BIG) // 2])
-            await until(lambda: len(taker.body) > 100_000)
+            await wait_until(lambda: len(taker.body) > 100_000)
             client.writer.transport.abort()
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(taker.ended.wait(), WAIT)
@@ -437,7 +439,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             assert len(stand.node.held) == 1
             (connection,) = stand.node.listener.connections
-            await until(lambda: connection.paused_for_upload)  # read no further meanwhile
+            await wait_until(lambda: connection.paused_for_upload)  # read no further meanwhile
             release.set()
             for _ in range(3):
                 assert (await client.answer())[0] == 200
@@ -542,7 +544,7 @@
                 whole = sum(len(connection.body) for connection in connections)
                 return whole + sum(c.upload.buffered_bytes for c in connections if c.upload is not None)
 
-            await until(lambda: stand.node.body_budget.body_count == 60)
+            await wait_until(lambda: stand.node.body_budget.body_count == 60)
             await asyncio.sleep(0.1)
             assert held() < 4 << 20 and stand.node.body_budget.share_bytes < 20_000
             for sender in senders:
@@ -586,7 +588,7 @@
                 await client.reader.read(1000)
             client.writer.transport.abort()
             await asyncio.wait_for(peer.ended.get(), WAIT)
-            await until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
+            await wait_until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
             assert not stand.node.held and stand.node.body_budget.body_count == 0
 
     run(test())
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -16,7 +16,7 @@
 from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
 from tests.net import WAIT, Peer, Stand, request, running
 from tests.support import START, Stage, server, settings
-from tests.test_admin import DOOR, until
+from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_metrics import stats
 from tests.test_node import run
 
@@ -101,7 +101,7 @@
 def test_calls_out_and_back_at_the_door() -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=DOOR) as stand:
+        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             for _ in range(8):
                 assert (await client.ask(request()))[0] == 200
@@ -110,7 +110,7 @@
                     assert (await stand.call("POST", call, body))[0] == status
             for body in (b"s-1", b"s-1\n"):  # twice out
                 assert (await stand.call("POST", "cordon", body))[0] == 200
-            await until(lambda: peers[0].ended.qsize() == peers[0].connections)  # idle ones are closed
+            await wait_until(lambda: peers[0].ended.qsize() == peers[0].connections)  # idle ones are closed
             assert (await stats(stand))["ejected"] == 1
             before = peers[0].requests.qsize()
             stand.agent.push(2, [peers[0].entry("s-1", "left")])  # restarts: missing, then back
@@ -139,7 +139,7 @@
 def test_a_dial_that_is_on_when_its_server_is_taken_out_ends_and_the_request_goes_elsewhere() -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, attempts=3, admin=DOOR) as stand:
+        async with running(*peers, attempts=3, admin=ADMIN_ADDRESS) as stand:
             send, out = stand.node.send, []
 
             def taken_out_at_once(action: Send) -> None:
@@ -159,21 +159,21 @@
 def test_a_call_to_either_process_holds_in_both(tmp_path: Path) -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=DOOR, shared=tmp_path) as old:
+        async with running(*peers, admin=ADMIN_ADDRESS, shared=tmp_path) as old:
             assert (await old.call("POST", "cordon", b"s-1"))[0] == 200
-            async with running(*peers, admin=DOOR, shared=tmp_path) as new:
+            async with running(*peers, admin=ADMIN_ADDRESS, shared=tmp_path) as new:
                 ids = {stable_id(b"s-1"), stable_id(b"s-2")}
                 assert new.node.policy.cordoned == {stable_id(b"s-1")}  # from the start
                 assert (await new.call("POST", "cordon", b"s-2"))[0] == 200
-                await until(lambda: old.node.policy.cordoned == ids)
+                await wait_until(lambda: old.node.policy.cordoned == ids)
                 assert (await old.call("POST", "uncordon", b"s-1"))[0] == 200
-                await until(lambda: new.node.policy.cordoned == {stable_id(b"s-2")})
+                await wait_until(lambda: new.node.policy.cordoned == {stable_id(b"s-2")})
                 at = old.node.policy.returned[stable_id(b"s-1")]
                 assert new.node.policy.returned[stable_id(b"s-1")] == pytest.approx(at, abs=50.0)
                 client = await new.client()
                 assert (await client.ask(request()))[0] == 200
                 assert (peers[0].requests.qsize(), peers[1].requests.qsize()) == (1, 0)
-            async with running(*peers, admin=DOOR, shared=tmp_path) as third:
+            async with running(*peers, admin=ADMIN_ADDRESS, shared=tmp_path) as third:
                 assert third.node.policy.cordoned == {stable_id(b"s-2")}
                 assert third.node.policy.returned.keys() == {stable_id(b"s-1")}  # cold for it too
 
@@ -224,7 +224,7 @@
         assert not stand.node.policy.cordoned
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=DOOR, shared=tmp_path) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared=tmp_path) as stand:
             await test(stand)
 
     run(whole())
@@ -274,7 +274,7 @@
     monkeypatch.setattr(shared_state, "read_limited", fail)
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=DOOR, shared=tmp_path) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared=tmp_path) as stand:
             assert not left[0]
             assert stand.node.policy.cordoned == {stable_id(b"s-1")}
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -32,7 +32,7 @@
     Withdrawn,
 )
 from tests.net import OK, WAIT, WATCH, Peer, Stand, answer, request, running, stay_silent
-from tests.test_admin import until
+from tests.test_admin import wait_until
 from tests.test_node import run
 
 
@@ -177,7 +177,9 @@
             client.send(second[30:])
             assert await client.rest() == b""
             client.close()
-            await until(lambda: not stand.node.listener.connections and not stand.node.listener.lingering)
+            await wait_until(
+                lambda: not stand.node.listener.connections and not stand.node.listener.lingering
+            )
             assert peer.requests.empty() and not stand.node.held
 
     run(test())
@@ -198,7 +200,7 @@
             client.send(second[30:])
             last = await client.rest()
             assert last.startswith(b"HTTP/1.1 200") and b"Connection: close" in last
-            await until(lambda: not stand.node.listener.idle)
+            await wait_until(lambda: not stand.node.listener.idle)
 
     run(test())
 
@@ -210,7 +212,7 @@
         async with running(peer) as stand:
             client = Raw(stand)
             client.send(data)
-            await until(lambda: bool(stand.node.listener.receiving_first_request))
+            await wait_until(lambda: bool(stand.node.listener.receiving_first_request))
             stand.node.stopping = True
             stand.node.listener.reject_unfinished_requests()
             told = await client.rest()
@@ -227,13 +229,13 @@
             client = Raw(stand)
             client.send(request())
             assert (await client.answer()).startswith(b"HTTP/1.1 200")
-            await until(lambda: bool(stand.node.listener.idle))
+            await wait_until(lambda: bool(stand.node.listener.idle))
             client.send(request())
             stand.node.stopping = True
             stand.node.listener.close_idle()
             assert await client.rest() == b""
             client.close()
-            await until(lambda: not stand.node.listener.lingering)
+            await wait_until(lambda: not stand.node.listener.lingering)
             assert peer.requests.qsize() == 1 and not stand.node.held
 
     run(test())
@@ -254,7 +256,7 @@
     async def test() -> None:
         async with running(await Peer(pour).start()) as stand:
             client = Raw(stand, buffer=4096)
-            await until(lambda: bool(stand.node.listener.connections))
+            await wait_until(lambda: bool(stand.node.listener.connections))
             (connection,) = stand.node.listener.connections
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the kernel holds next to nothing
@@ -285,7 +287,7 @@
             assert connection.paused_for_queue
             leave(client)
             await stand.event(Withdrawn)
-            await until(lambda: not stand.node.listener.connections)
+            await wait_until(lambda: not stand.node.listener.connections)
             assert peer.requests.empty() and not stand.node.held
 
     run(test())
@@ -319,7 +321,7 @@
                     await asyncio.sleep(0.001)
             leave(client)
             await stand.event(Withdrawn)
-            await until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
+            await wait_until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
             assert not stand.node.held
 
     run(test())
@@ -340,11 +342,11 @@
         async with running(peer, settings=late) as stand:
             client = Raw(stand)
             client.send(request())
-            await until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: stand.node.pool.dials == 1)
             leave(client)
             await stand.event(Withdrawn)
             door.open()
-            await until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
+            await wait_until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
             with suppress(TimeoutError):  # a dial that was not given up comes up within the second
                 assert await asyncio.wait_for(door.came.get(), 1.5) == b""
             door.close()
@@ -360,7 +362,7 @@
             client.send(request() + request()[:40])
             client.close()
             await stand.event(Withdrawn)
-            await until(lambda: not stand.node.listener.connections)
+            await wait_until(lambda: not stand.node.listener.connections)
             assert not stand.node.held
 
     run(test())
@@ -393,7 +395,7 @@
             ]
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("book")))
-            await until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
+            await wait_until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
             door.open()
             status, _, _ = await asking
             assert status != 200
@@ -480,7 +482,7 @@
             stand.node.perform[Send] = withdrawn_at_once
             client.writer.write(request())
             await stand.event(Withdrawn)
-            await until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
+            await wait_until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
             assert peer.requests.qsize() == 1 and not stand.node.pool.attempts
 
     run(test())
@@ -500,7 +502,7 @@
             ]
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("pay")))
-            await until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: stand.node.pool.dials == 1)
             stand.agent.push(2, [peer.entry("s-1", state)])
             assert (await asking)[0] == 200  # at the other, though the first's connection is not up yet
             assert stand.node.pool.dials == 0
@@ -521,7 +523,7 @@
             stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             client = await stand.client()
             asking = asyncio.create_task(client.ask(request("pay")))
-            await until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: stand.node.pool.dials == 1)
             stand.agent.push(2, [peer.entry("s-1", "leaving"), added.entry("s-2")])
             assert (await asking)[0] == 200
             assert not stand.node.pool.attempts
@@ -741,11 +743,11 @@
             for client in crowd:
                 assert (await client.ask(request()))[0] == 200
             listener = stand.node.listener
-            await until(lambda: len(listener.idle) == 6)
+            await wait_until(lambda: len(listener.idle) == 6)
             monkeypatch.setattr(client_connections.Listener, "evict_connection", count)
             monkeypatch.setattr(client_connections.ClientConnection, "abandon", leave_and_shrink)
             crowd[0].writer.close()
-            await until(lambda: looks)
+            await wait_until(lambda: looks)
             assert looks < 50
             assert len(listener.connections) + len(listener.lingering) <= limit
             assert (await crowd[-1].ask(request()))[0] == 200  # those idle for longer made room
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,7 +11,7 @@
 from flaxstep.routing.policy import Policy
 from tests.net import CLASSES, OK, Peer, Stand, answer, answer_ok, hang_up, request, running, stay_silent
 from tests.support import server, settings
-from tests.test_admin import DOOR, until
+from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_node import run
 
 
@@ -30,7 +30,7 @@
 
 def test_every_figure_of_the_page_is_there_from_the_start() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             zero = {f"results.{c}.{o}": 0 for c in CLASSES for o in ("succeeded", "declined", "aborted")}
             gauges = {"outstanding": 0, "discovered": 2, "ejected": 0}
             assert await stats(stand) == zero | gauges | {"forwards": 0}
@@ -56,7 +56,7 @@
 
     async def test() -> None:
         peers = [await Peer().start(), await Peer(full).start()]
-        async with running(*peers, attempts=3, admin=DOOR) as stand:
+        async with running(*peers, attempts=3, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             for _ in range(8):
                 assert (await client.ask(request("book")))[0] == 200
@@ -86,14 +86,14 @@
 
     async def test() -> None:
         peer = await Peer(held_back).start()
-        async with running(peer, admin=DOOR) as stand:
+        async with running(peer, admin=ADMIN_ADDRESS) as stand:
             client, leaver = await stand.client(), await stand.client()
             client.writer.write(request() * 3)
             leaver.writer.write(request())
-            await until(lambda: len(stand.node.held) == 2)
+            await wait_until(lambda: len(stand.node.held) == 2)
             assert (await stats(stand))["outstanding"] == 4
             leaver.writer.close()
-            await until(lambda: len(stand.node.held) == 1)
+            await wait_until(lambda: len(stand.node.held) == 1)
             assert (await stats(stand))["outstanding"] == 3
             release.set()
             for _ in range(3):
@@ -107,7 +107,7 @@
 def test_servers_are_discovered_while_listed() -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(3)]
-        async with running(*peers, admin=DOOR) as stand:
+        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
             stand.agent.push(2, [peers[0].entry("s-1", "leaving"), peers[1].entry("s-2", "left")])
             while (await stand.event(ServerList)).version != 2:
                 pass
@@ -138,7 +138,7 @@
 
     async def test() -> None:
         peers = [await Peer().start(), await Peer(full).start(), await Peer(hang_up).start()]
-        async with running(*peers, admin=DOOR) as stand:
+        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             codes = [(await client.ask(request("book")))[0] for _ in range(30)]
             found = await by_server(stand)
@@ -159,7 +159,7 @@
 def test_what_is_out_is_told_and_a_restart_begins_anew() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
-        async with running(peer, admin=DOOR) as stand:
+        async with running(peer, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             client.writer.write(request())
             await peer.requests.get()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -62,7 +62,7 @@
 
 
 @asynccontextmanager
-async def started(
+async def running_process(
     path: Path, environ: Mapping[str, str] | None = None, wait: bool = True
 ) -> AsyncIterator[tuple[Process, int]]:
     """A node, and its port: once it listens and has a list, unless it is not to be waited for."""
@@ -108,7 +108,7 @@
         agent = await Agent([peer.entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
-        async with started(path) as (node, port):
+        async with running_process(path) as (node, port):
             holder, idle = await connect(port), await connect(port)
             assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             holder.writer.write(request())
@@ -135,7 +135,7 @@
         second = await Agent([later.entry()], generation=2).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{first.port}"}))
-        async with started(path) as (node, port):
+        async with running_process(path) as (node, port):
             client = await connect(port)
             assert (await client.ask(request()))[0] == 200
             for broken in ("not JSON", "[]", "{}", '{"discovery": 7}', '{"discovery": "nowhere"}'):
@@ -192,7 +192,7 @@
             raw["discovery"] = "127.0.0.1:1"  # nobody is there: it never has a list
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw))
-        async with started(path, wait=ready) as (node, port):
+        async with running_process(path, wait=ready) as (node, port):
             if not ready:
                 while "listens on" not in await log_line(node):
                     pass
@@ -221,7 +221,7 @@
         agent = await Agent([peer.entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
-        async with started(path) as (node, port):
+        async with running_process(path) as (node, port):
             soon, never, data = await connect(port), await connect(port), request()
             soon.writer.write(data[:40])
             never.writer.write(data[:40])
--- a/tests/test_syscalls.py
+++ b/tests/test_syscalls.py
@@ -15,7 +15,7 @@
 
 from tests.net import Agent, Peer, request
 from tests.shim import build_shim
-from tests.test_process import connect, log_line, raw_config, started
+from tests.test_process import connect, log_line, raw_config, running_process
 
 
 @pytest.fixture(scope="module")
@@ -36,7 +36,7 @@
         agent = await Agent([peer.entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
-        async with started(path, environ(shim, f"socket:{error}:1:12"), wait=False) as (node, _):
+        async with running_process(path, environ(shim, f"socket:{error}:1:12"), wait=False) as (node, _):
             delayed = False
             while not (match := re.search(r"listens on 127\.0\.0\.1:(\d+)", line := await log_line(node))):
                 delayed = delayed or "not listening yet" in line
@@ -79,7 +79,7 @@
         agent = await Agent([peer.entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
-        async with started(path, environ(shim, faults)) as (node, port):
+        async with running_process(path, environ(shim, faults)) as (node, port):
             answers = [await ask(port) for _ in range(40)]
             assert set(answers) <= {200, 502, 503, None}
             assert answers[-1] == 200 and answers.count(200) > 10
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,9 +14,9 @@
 
 from flaxstep.proxy.node import connection_limits
 from tests.net import WAIT, Agent, Client, Peer, request, running
-from tests.test_admin import DOOR, HEALTH, until
+from tests.test_admin import ADMIN_ADDRESS, HEALTH, wait_until
 from tests.test_node import run
-from tests.test_process import log_line, raw_config, started
+from tests.test_process import log_line, raw_config, running_process
 
 
 def free_port() -> int:
@@ -62,15 +62,15 @@
                 client.writer.close()
 
         async with AsyncExitStack() as stack:
-            old, _ = await stack.enter_async_context(started(path, environ))
+            old, _ = await stack.enter_async_context(running_process(path, environ))
             asking = asyncio.create_task(ask())  # one at a time: four at once are overload to one server
-            new, _ = await stack.enter_async_context(started(path, environ))
+            new, _ = await stack.enter_async_context(running_process(path, environ))
             await wait_for_line(old, "two processes")
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), WAIT) == 0
             await wait_for_line(new, "one process again")
             before = served[0]
-            await until(lambda: served[0] > before + 20)
+            await wait_until(lambda: served[0] > before + 20)
             over.set()
             await asking  # none was refused or left alone, and hardly one met a closing connection
             assert new.returncode is None
@@ -82,12 +82,12 @@
     async def test() -> None:
         path, port, environ = await prepare(tmp_path)
         async with AsyncExitStack() as stack:
-            old, _ = await stack.enter_async_context(started(path, environ))
+            old, _ = await stack.enter_async_context(running_process(path, environ))
             with socket.socket() as deaf:  # takes calls and never answers
                 deaf.bind(("127.0.0.1", 0))
                 deaf.listen()
                 astray = environ | {"ROUTER_DISCOVERY": f"127.0.0.1:{deaf.getsockname()[1]}"}
-                new, _ = await stack.enter_async_context(started(path, astray, wait=False))
+                new, _ = await stack.enter_async_context(running_process(path, astray, wait=False))
                 await wait_for_line(old, "two processes")
                 for _ in range(40):  # a second listener would get half of them
                     client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -104,7 +104,7 @@
 
 def test_connections_that_the_kernel_has_queued_are_served_when_the_listener_closes() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             assert stand.node.server is not None
             address = stand.node.server.sockets[0].getsockname()
             queued = [socket.create_connection(address) for _ in range(5)]  # the loop has not seen them
@@ -122,21 +122,23 @@
 def test_two_processes_halve_what_each_may_hold(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as old:
+        async with running(peer, admin=ADMIN_ADDRESS, shared=tmp_path, sockets=256) as old:
             clients = [await old.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(request()))[0] == 200
             whole = (old.node.listener.max_connections, old.node.pool.max_connections)
             assert whole == connection_limits(256) and sum(whole) < 256
-            async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as new:
-                await until(lambda: old.node.listener.max_connections < whole[0])
+            async with running(peer, admin=ADMIN_ADDRESS, shared=tmp_path, sockets=256) as new:
+                await wait_until(lambda: old.node.listener.max_connections < whole[0])
                 half = connection_limits(128)
                 for stand in (old, new):
                     assert (stand.node.listener.max_connections, stand.node.pool.max_connections) == half
                 assert 2 * sum(half) <= sum(whole)
                 assert len(old.node.listener.connections) <= half[0]
                 assert (await clients[-1].ask(request()))[0] == 200  # the longest idle have made room
-            await until(lambda: (old.node.listener.max_connections, old.node.pool.max_connections) == whole)
+            await wait_until(
+                lambda: (old.node.listener.max_connections, old.node.pool.max_connections) == whole
+            )
 
     run(test())
 
