--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door over loopback sockets: who is answered, and what each call does."""
+"""The admin port over loopback sockets: request handling, quiesce and resume."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return b"\r\n".join((start, b"Host: n0", *lines, b"", body))
 
 
-REFUSED = [
+INVALID_CALLS = [
     (call(b"GET /admin/nothing HTTP/1.1"), 404),
     (call(b"GET /find/1 HTTP/1.1"), 404),
     (call(b"DELETE /admin/health HTTP/1.1"), 405),
@@ -48,13 +48,13 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "status"), REFUSED, ids=range(len(REFUSED)))
+@pytest.mark.parametrize(("data", "status"), INVALID_CALLS, ids=range(len(INVALID_CALLS)))
 def test_invalid_call_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
         async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             caller = await stand.caller()
-            got, head, body = await caller.ask(data)
-            assert (got, field(head, b"Connection")) == (status, b"close")
+            received_status, head, body = await caller.ask(data)
+            assert (received_status, field(head, b"Connection")) == (status, b"close")
             assert body.endswith(b"\n") and b"Traceback" not in body
             assert await caller.end() == b""
             assert await stand.call("GET", "health") == (200, "ready\n")
@@ -63,11 +63,11 @@
 
 
 def test_exception_in_call_gets_500_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
-    def broken(_: bytes) -> admin.Reply:
+    def failing_call(_: bytes) -> admin.Reply:
         raise RuntimeError("broken on purpose")
 
     status, text, _ = admin.AdminServer(
-        asyncio.new_event_loop(), {b"/admin/x": (b"POST", broken)}
+        asyncio.new_event_loop(), {b"/admin/x": (b"POST", failing_call)}
     ).handle_call(b"POST", b"/admin/x", b"")
     assert status == 500 and "broken" not in text
     assert "broken on purpose" in caplog.text
@@ -107,7 +107,7 @@
 def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
         async with running(admin=ADMIN_ADDRESS, known={}) as stand:
-            stand.node.healthy = False  # as before the first list
+            stand.node.healthy = False  # the state before the first list
             assert (await stand.call("GET", "health"))[0] == 503
 
     run(test())
@@ -117,31 +117,31 @@
     monkeypatch.setattr(client_connections, "DRAIN_GRACE_FOR_NEW_S", 0.1)
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         await answer_ok(peer, head, writer)
 
     async def test() -> None:
-        peer = await Peer(held_back).start()
+        peer = await Peer(delayed_response).start()
         async with running(peer, admin=ADMIN_ADDRESS) as stand:
-            idle, holder = await stand.client(), await stand.client()
+            idle, pending = await stand.client(), await stand.client()
             release.set()
             assert (await idle.ask(request()))[0] == 200
             release.clear()
-            holder.writer.write(request())
+            pending.writer.write(request())
             await wait_until(lambda: len(stand.node.held) == 1)
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert (await stand.call("POST", "quiesce"))[0] == 200
-            assert await idle.end() == b""  # closed though nothing was asked
-            late = await stand.client()  # before the front has turned away
-            late.writer.write(request())
+            assert await idle.end() == b""  # closed without a request on it
+            newcomer = await stand.client()  # the client has not switched to another node yet
+            newcomer.writer.write(request())
             await wait_until(lambda: len(stand.node.held) == 2)
             silent = await stand.client()
             assert (await (await stand.client()).ask(HEALTH))[0] == 503
             assert (await stand.call("GET", "health"))[0] == 503
-            assert await silent.end() == b""  # one that brings nothing is not held
+            assert await silent.end() == b""  # a connection without a request is closed
             release.set()
-            for waiting in (holder, late):
+            for waiting in (pending, newcomer):
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 assert await waiting.end() == b""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Where two events cross on real sockets: each crossing is forced, by bytes held back, resets and closes.
+"""Race conditions on real sockets, each forced by delayed bytes, resets and closes.
 
-Node, clients and servers share one loop, so what a raw socket sends between two steps of a test lies in the
-node's kernel buffer, unread, when the next step begins.
+Node, clients and servers share one event loop. So what a raw socket sends between two steps of a test is
+still unread in the node's kernel buffer when the next step begins.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 from tests.test_node import run
 
 
-def reset_now(sock: socket.socket) -> None:
+def reset_socket(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class RawPeer(Peer):
-    """A server that answers the first request of each connection, and leaves its sockets to its test then."""
+    """A server that responds to the first request of each connection and leaves the rest to the test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -72,8 +72,8 @@
             sock.close()
 
 
-class Raw:
-    """A client's socket that does nothing by itself."""
+class RawClient:
+    """A client socket that only does what the test calls for."""
 
     def __init__(self, stand: Stand, buffer: int = 0) -> None:
         assert stand.node.server is not None
@@ -86,14 +86,14 @@
     def send(self, data: bytes) -> None:
         assert self.socket.send(data) == len(data)
 
-    async def answer(self) -> bytes:
-        """The next bytes."""
+    async def receive(self) -> bytes:
+        """Return the next bytes."""
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), WAIT)
 
-    async def rest(self) -> bytes:
-        """All bytes up to the end, which must not be a reset."""
+    async def receive_until_close(self) -> bytes:
+        """Return all bytes up to the end of the stream; fail on a reset."""
         parts = []
-        while part := await self.answer():
+        while part := await self.receive():
             parts.append(part)
         return b"".join(parts)
 
@@ -101,24 +101,24 @@
         self.socket.close()
 
     def reset(self) -> None:
-        reset_now(self.socket)
+        reset_socket(self.socket)
 
 
-class Gate:
-    """Servers that answer once it is open."""
+class ResponseGate:
+    """A script for servers: they respond once the gate is open."""
 
     def __init__(self) -> None:
-        self.open = asyncio.Event()
+        self.is_open = asyncio.Event()
 
-    async def ok(self, peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
-        await self.open.wait()
+    async def respond_when_open(self, peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        await self.is_open.wait()
         writer.write(OK)
 
 
-class Door:
-    """A server whose connections come up only when it is opened: its queue of one is full before.
+class LateAcceptServer:
+    """A server that accepts connections late: until start_accepting its queue of one is full.
 
-    A connection that finds no room is tried again by the system after a second, so it comes up late.
+    The kernel retries a connection that finds the queue full after a second.
     """
 
     def __init__(self) -> None:
@@ -126,11 +126,12 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(0)
         self.port: int = self.listener.getsockname()[1]
-        self.first = socket.create_connection(("127.0.0.1", self.port))
-        self.came: asyncio.Queue[bytes] = asyncio.Queue()  # first bytes of each connection; none: it ended
+        self.queue_filler = socket.create_connection(("127.0.0.1", self.port))
+        # The first bytes of each connection; empty: it was closed without any.
+        self.received: asyncio.Queue[bytes] = asyncio.Queue()
 
-    def open(self) -> None:
-        """Take connections from now on, all but the first that filled the queue."""
+    def start_accepting(self) -> None:
+        """Accept connections from now on, but close the one that has filled the queue."""
         self.listener.accept()[0].close()
         self.listener.setblocking(False)
         self.task = asyncio.get_running_loop().create_task(self.accept())
@@ -141,41 +142,43 @@
             accepted, _ = await loop.sock_accept(self.listener)
             accepted.setblocking(False)
             with suppress(ConnectionError):
-                self.came.put_nowait(await loop.sock_recv(accepted, 65536))
+                self.received.put_nowait(await loop.sock_recv(accepted, 65536))
             accepted.close()
 
     def close(self) -> None:
         self.task.cancel()
         self.listener.close()
-        self.first.close()
+        self.queue_filler.close()
 
 
-async def told(stand: Stand, version: int) -> None:
+async def wait_for_list(stand: Stand, version: int) -> None:
     while (await stand.event(ServerList)).version != version:
         pass
 
 
-LEAVES = pytest.mark.parametrize("leave", [Raw.close, Raw.reset], ids=["end of stream", "reset"])
-Leave = Callable[[Raw], None]
+DISCONNECTS = pytest.mark.parametrize(
+    "disconnect", [RawClient.close, RawClient.reset], ids=["end of stream", "reset"]
+)
+Disconnect = Callable[[RawClient], None]
 
 
 # Shutdown and closes.
 
 
 def test_request_completed_after_last_response_is_not_forwarded() -> None:
-    gate = Gate()
+    gate = ResponseGate()
 
     async def test() -> None:
-        peer = await Peer(gate.ok).start()
+        peer = await Peer(gate.respond_when_open).start()
         async with running(peer) as stand:
-            client, second = Raw(stand), request()
+            client, second = RawClient(stand), request()
             client.send(request(Connection="close") + second[:30])
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            gate.open.set()
-            first = await client.answer()
+            gate.is_open.set()
+            first = await client.receive()
             assert first.startswith(b"HTTP/1.1 200") and b"Connection: close" in first
             client.send(second[30:])
-            assert await client.rest() == b""
+            assert await client.receive_until_close() == b""
             client.close()
             await wait_until(
                 lambda: not stand.node.listener.connections and not stand.node.listener.lingering
@@ -186,19 +189,19 @@
 
 
 def test_partly_read_request_gets_response_when_node_stops() -> None:
-    gate = Gate()
+    gate = ResponseGate()
 
     async def test() -> None:
-        peer = await Peer(gate.ok).start()
+        peer = await Peer(gate.respond_when_open).start()
         async with running(peer) as stand:
-            client, second = Raw(stand), request()
+            client, second = RawClient(stand), request()
             client.send(request() + second[:30])
             await asyncio.wait_for(peer.requests.get(), WAIT)
             stand.node.stopping = True
-            gate.open.set()
-            assert b"Connection: close" not in await client.answer()
+            gate.is_open.set()
+            assert b"Connection: close" not in await client.receive()
             client.send(second[30:])
-            last = await client.rest()
+            last = await client.receive_until_close()
             assert last.startswith(b"HTTP/1.1 200") and b"Connection: close" in last
             await wait_until(lambda: not stand.node.listener.idle)
 
@@ -210,13 +213,13 @@
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
-            client = Raw(stand)
+            client = RawClient(stand)
             client.send(data)
             await wait_until(lambda: bool(stand.node.listener.receiving_first_request))
             stand.node.stopping = True
             stand.node.listener.reject_unfinished_requests()
-            told = await client.rest()
-            assert told.startswith(b"HTTP/1.1 503") and b"Connection: close" in told
+            response = await client.receive_until_close()
+            assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
             assert not stand.node.held and peer.requests.empty()
 
     run(test())
@@ -226,14 +229,14 @@
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
-            client = Raw(stand)
+            client = RawClient(stand)
             client.send(request())
-            assert (await client.answer()).startswith(b"HTTP/1.1 200")
+            assert (await client.receive()).startswith(b"HTTP/1.1 200")
             await wait_until(lambda: bool(stand.node.listener.idle))
             client.send(request())
             stand.node.stopping = True
             stand.node.listener.close_idle()
-            assert await client.rest() == b""
+            assert await client.receive_until_close() == b""
             client.close()
             await wait_until(lambda: not stand.node.listener.lingering)
             assert peer.requests.qsize() == 1 and not stand.node.held
@@ -247,45 +250,45 @@
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.0)
     size = 1 << 20
 
-    async def pour(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size >> 16):
             writer.write(bytes(65536))
             await writer.drain()
 
     async def test() -> None:
-        async with running(await Peer(pour).start()) as stand:
-            client = Raw(stand, buffer=4096)
+        async with running(await Peer(stream_response).start()) as stand:
+            client = RawClient(stand, buffer=4096)
             await wait_until(lambda: bool(stand.node.listener.connections))
             (connection,) = stand.node.listener.connections
             sock = connection.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the kernel holds next to nothing
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the kernel buffers very little
             client.send(request(Connection="close"))
-            came = 0
-            while stand.node.pool.attempts or not came:
-                came += len(await client.answer())
-            for _ in range(20):  # the last of it waits for the client, and the node has no more to do
+            received_bytes = 0
+            while stand.node.pool.attempts or not received_bytes:
+                received_bytes += len(await client.receive())
+            for _ in range(20):  # the node has written all; the end waits for the client
                 await asyncio.sleep(0)
-            came += len(await client.rest())
-            assert came > size
+            received_bytes += len(await client.receive_until_close())
+            assert received_bytes > size
 
     run(test())
 
 
-# Clients that leave.
+# Clients that disconnect.
 
 
-@LEAVES
-def test_client_disconnect_is_detected_while_reading_is_paused_for_queue(leave: Leave) -> None:
+@DISCONNECTS
+def test_client_disconnect_is_detected_while_reading_is_paused_for_queue(disconnect: Disconnect) -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
-            client = Raw(stand)
+            client = RawClient(stand)
             client.send(request() * (2 * client_connections.MAX_PIPELINED_REQUESTS))
             await asyncio.wait_for(peer.requests.get(), WAIT)
             (connection,) = stand.node.listener.connections
             assert connection.paused_for_queue
-            leave(client)
+            disconnect(client)
             await stand.event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections)
             assert peer.requests.empty() and not stand.node.held
@@ -293,33 +296,32 @@
     run(test())
 
 
-@LEAVES
-def test_client_disconnect_is_detected_while_reading_is_paused_for_upload(leave: Leave) -> None:
+@DISCONNECTS
+def test_client_disconnect_is_detected_while_reading_is_paused_for_upload(disconnect: Disconnect) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        taken = asyncio.Event()
+        head_read = asyncio.Event()
 
-        async def take_the_head(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def read_head_only(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             reader._transport.pause_reading()  # type: ignore[attr-defined]
-            taken.set()
+            head_read.set()
 
         peer.server.close()
-        peer.server = await asyncio.start_server(take_the_head, "127.0.0.1", 0)
+        peer.server = await asyncio.start_server(read_head_only, "127.0.0.1", 0)
         peer.port = peer.server.sockets[0].getsockname()[1]
         async with running(peer) as stand:
-            client, body = Raw(stand), bytes(16 << 20)
+            client, body = RawClient(stand), bytes(16 << 20)
             head = request("pay").replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
             client.send(head)
-            await asyncio.wait_for(taken.wait(), WAIT)
+            await asyncio.wait_for(head_read.wait(), WAIT)
             (connection,) = stand.node.listener.connections
             async with asyncio.timeout(WAIT):
-                while (
-                    not connection.paused_for_upload
-                ):  # no more: what the client's own system holds would hide its end
+                # Send no more then: unsent bytes in the client's kernel would hide its close.
+                while not connection.paused_for_upload:
                     client.send(body[:65536])
                     await asyncio.sleep(0.001)
-            leave(client)
+            disconnect(client)
             await stand.event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
             assert not stand.node.held
@@ -327,29 +329,31 @@
     run(test())
 
 
-@LEAVES
+@DISCONNECTS
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_request_is_not_sent_if_client_disconnects_during_dial(may_cancel: bool, leave: Leave) -> None:
+def test_request_is_not_sent_if_client_disconnects_during_dial(
+    may_cancel: bool, disconnect: Disconnect
+) -> None:
     async def test() -> None:
-        door = Door()
+        server = LateAcceptServer()
         peer = Peer()
-        peer.port = door.port
-        late = Settings(
+        peer.port = server.port
+        settings = Settings(
             classes=(RequestClass(5000.0, 9000.0, 1.0, Effect.SAFE),) * 3,
             may_cancel=may_cancel,
             max_attempts=1,
         )
-        async with running(peer, settings=late) as stand:
-            client = Raw(stand)
+        async with running(peer, settings=settings) as stand:
+            client = RawClient(stand)
             client.send(request())
             await wait_until(lambda: stand.node.pool.dials == 1)
-            leave(client)
+            disconnect(client)
             await stand.event(Withdrawn)
-            door.open()
+            server.start_accepting()
             await wait_until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
-            with suppress(TimeoutError):  # a dial that was not given up comes up within the second
-                assert await asyncio.wait_for(door.came.get(), 1.5) == b""
-            door.close()
+            with suppress(TimeoutError):  # a dial that was not cancelled succeeds within a second
+                assert await asyncio.wait_for(server.received.get(), 1.5) == b""
+            server.close()
 
     run(test())
 
@@ -358,7 +362,7 @@
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
-            client = Raw(stand)
+            client = RawClient(stand)
             client.send(request() + request()[:40])
             client.close()
             await stand.event(Withdrawn)
@@ -373,42 +377,42 @@
 
 def test_keyed_retry_is_not_sent_if_its_window_expires_during_dial() -> None:
     async def test() -> None:
-        door, first = Door(), await Peer(answer(b"no HTTP at all\r\n\r\n")).start()
+        server, first = LateAcceptServer(), await Peer(answer(b"no HTTP at all\r\n\r\n")).start()
         second = Peer()
-        second.port = door.port
+        second.port = server.port
         keyed = RequestClass(5000.0, 9000.0, 1.0, Effect.KEYED, Group.ALL, window=600.0)
         async with running(
             first, second, settings=Settings(classes=(keyed,) * 3, may_cancel=True, max_attempts=3)
         ) as stand:
             policy = stand.node.policy
-            policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             sends: list[int] = []
             send = stand.node.send
 
-            def spy(action: Send) -> None:
+            def record_send(action: Send) -> None:
                 sends.append(action.server)
                 send(action)
 
-            stand.node.perform[Send] = spy
+            stand.node.perform[Send] = record_send
             policy.pick = lambda job: policy.servers[  # type: ignore[method-assign]
                 stable_id(b"s-2" if job.tries else b"s-1")
             ]
             client = await stand.client()
-            asking = asyncio.create_task(client.ask(request("book")))
+            response_task = asyncio.create_task(client.ask(request("book")))
             await wait_until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
-            door.open()
-            status, _, _ = await asking
+            server.start_accepting()
+            status, _, _ = await response_task
             assert status != 200
             with suppress(TimeoutError):
-                assert await asyncio.wait_for(door.came.get(), 1.5) == b""
-            door.close()
+                assert await asyncio.wait_for(server.received.get(), 1.5) == b""
+            server.close()
 
     run(test())
 
 
 def test_cancelled_attempt_is_closed_before_next_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_connections, "REST", 0.0)
-    seen: list[bytes] = []
+    received_at_start: list[bytes] = []
 
     async def test() -> None:
         loop, first, second = asyncio.get_running_loop(), Peer(), await Peer().start()
@@ -417,28 +421,29 @@
         first.port = listener.getsockname()[1]
         async with running(first, second, attempts=2) as stand:
             policy = stand.node.policy
-            policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
-            to = {"name": b"s-2"}
-            policy.pick = lambda job: policy.servers[stable_id(to["name"])]  # type: ignore[method-assign]
+            policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
+            target = {"name": b"s-2"}
+            policy.pick = lambda job: policy.servers[stable_id(target["name"])]  # type: ignore[method-assign]
             client = await stand.client()
-            assert (await client.ask(request()))[0] == 200  # now a connection to the second rests
-            to["name"] = b"s-1"
-            asking = asyncio.create_task(client.ask(request()))
-            held, _ = await asyncio.wait_for(loop.sock_accept(listener), WAIT)
-            assert (await asyncio.wait_for(loop.sock_recv(held, 65536), WAIT)).startswith(b"GET ")
-            to["name"] = b"s-2"
-            write = ServerConnection.start
-
-            def look(self: ServerConnection, attempt: Attempt) -> None:
-                seen.append(held.recv(1))  # BlockingIOError: it is out still
-                write(self, attempt)
+            assert (await client.ask(request()))[0] == 200  # leaves an idle connection to the second server
+            target["name"] = b"s-1"
+            response_task = asyncio.create_task(client.ask(request()))
+            first_connection, _ = await asyncio.wait_for(loop.sock_accept(listener), WAIT)
+            assert (await asyncio.wait_for(loop.sock_recv(first_connection, 65536), WAIT)).startswith(b"GET ")
+            target["name"] = b"s-2"
+            start = ServerConnection.start
+
+            def check_and_start(self: ServerConnection, attempt: Attempt) -> None:
+                # Raises BlockingIOError while the first attempt is still open.
+                received_at_start.append(first_connection.recv(1))
+                start(self, attempt)
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(ServerConnection, "start", look)
+                patch.setattr(ServerConnection, "start", check_and_start)
                 stand.node.pool.cancel(stand.node.last_id, 0)
-            assert (await asking)[0] == 200
-            assert seen == [b""]
-        held.close()
+            assert (await response_task)[0] == 200
+            assert received_at_start == [b""]
+        first_connection.close()
         listener.close()
 
     run(test())
@@ -448,20 +453,20 @@
 
 
 def test_late_second_response_is_not_used_for_next_request() -> None:
-    """It lies behind the first; the next request must not meet it, nor the end of a connection."""
+    """A second response follows the first; no later request may get it, or fail as the connection closes."""
     name = b"the first's"
     late = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name)
 
-    async def twice(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_twice(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(OK)
         if peer.requests.qsize() == 1:
             asyncio.get_running_loop().call_later(0.004, writer.write, late)
 
     async def test() -> None:
-        peer = await Peer(twice).start()
+        peer = await Peer(respond_twice).start()
         async with running(peer) as stand:
             client = await stand.client()
-            for _ in range(20):  # as fast as they go: more than 4 ms in all
+            for _ in range(20):  # without pauses: more than 4 ms in all
                 assert (await client.ask(request()))[2] == b"done"
 
     run(test())
@@ -475,11 +480,11 @@
             assert (await client.ask(request()))[0] == 200
             send = stand.node.send
 
-            def withdrawn_at_once(action: Send) -> None:
+            def send_then_withdraw(action: Send) -> None:
                 send(action)
                 loop.call_soon(stand.node.client_gone, action.id)
 
-            stand.node.perform[Send] = withdrawn_at_once
+            stand.node.perform[Send] = send_then_withdraw
             client.writer.write(request())
             await stand.event(Withdrawn)
             await wait_until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
@@ -491,44 +496,44 @@
 @pytest.mark.parametrize("state", ["leaving", "left"])
 def test_request_is_retried_at_once_if_server_drains_during_dial(state: str) -> None:
     async def test() -> None:
-        door, peer = Door(), Peer()
-        peer.port = door.port
+        server, peer = LateAcceptServer(), Peer()
+        peer.port = server.port
         other = await Peer().start()
         async with running(peer, other, attempts=2) as stand:
             policy = stand.node.policy
-            policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             policy.pick = lambda job: policy.servers[  # type: ignore[method-assign]
                 stable_id(b"s-2" if job.tries else b"s-1")
             ]
             client = await stand.client()
-            asking = asyncio.create_task(client.ask(request("pay")))
+            response_task = asyncio.create_task(client.ask(request("pay")))
             await wait_until(lambda: stand.node.pool.dials == 1)
             stand.agent.push(2, [peer.entry("s-1", state)])
-            assert (await asking)[0] == 200  # at the other, though the first's connection is not up yet
+            assert (await response_task)[0] == 200  # from the other server, while the first dial still waits
             assert stand.node.pool.dials == 0
-            door.open()
+            server.start_accepting()
             with suppress(TimeoutError):
-                assert await asyncio.wait_for(door.came.get(), 1.5) == b""
-            door.close()
+                assert await asyncio.wait_for(server.received.get(), 1.5) == b""
+            server.close()
 
     run(test())
 
 
 def test_retry_may_use_endpoint_added_by_same_list() -> None:
     async def test() -> None:
-        door, peer = Door(), Peer()
-        peer.port = door.port
+        server, peer = LateAcceptServer(), Peer()
+        peer.port = server.port
         added = await Peer().start()
         async with running(peer, attempts=2) as stand:
-            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             client = await stand.client()
-            asking = asyncio.create_task(client.ask(request("pay")))
+            response_task = asyncio.create_task(client.ask(request("pay")))
             await wait_until(lambda: stand.node.pool.dials == 1)
             stand.agent.push(2, [peer.entry("s-1", "leaving"), added.entry("s-2")])
-            assert (await asking)[0] == 200
+            assert (await response_task)[0] == 200
             assert not stand.node.pool.attempts
-        door.open()
-        door.close()
+        server.start_accepting()
+        server.close()
 
     run(test())
 
@@ -541,13 +546,13 @@
             assert (await client.ask(request()))[0] == 200
             send = stand.node.send
 
-            def drained_at_once(action: Send) -> None:
+            def send_then_drain(action: Send) -> None:
                 send(action)
                 stand.node.take_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            stand.node.perform[Send] = drained_at_once
+            stand.node.perform[Send] = send_then_drain
             assert (await client.ask(request()))[0] == 503
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.qsize() == 1 and peer.connections == 1
@@ -555,17 +560,17 @@
     run(test())
 
 
-def end_of_stream(sock: socket.socket) -> None:
+def send_end_of_stream(sock: socket.socket) -> None:
     sock.shutdown(socket.SHUT_WR)
 
 
-def half_a_line(sock: socket.socket) -> None:
+def send_half_a_line(sock: socket.socket) -> None:
     sock.send(b"HTTP/1.1 200 O")
 
 
-@pytest.mark.parametrize("happen", [end_of_stream, half_a_line, reset_now])
+@pytest.mark.parametrize("cause_event", [send_end_of_stream, send_half_a_line, reset_socket])
 def test_unread_input_on_idle_connection_prevents_reuse(
-    happen: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
+    cause_event: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server_connections, "REST", 0.0)
 
@@ -576,69 +581,71 @@
             assert (await client.ask(request("pay")))[0] == 200
             send = stand.node.send
 
-            def crossed(action: Send) -> None:
-                happen(peer.sockets[0])  # in the very step in which the next attempt goes out
+            def send_after_event(action: Send) -> None:
+                cause_event(peer.sockets[0])  # in the same step in which the next attempt is sent
                 send(action)
 
-            stand.node.perform[Send] = crossed
-            assert (await client.ask(request("pay")))[0] == 200  # it might not have been sent twice
+            stand.node.perform[Send] = send_after_event
+            assert (await client.ask(request("pay")))[0] == 200  # an unsafe request: it could not be retried
             assert len(peer.sockets) == 2
         peer.close()
 
     run(test())
 
 
-# Answers.
+# Responses.
 
 
 def test_response_of_removed_server_still_completes(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    gate = Gate()
+    gate = ResponseGate()
 
-    async def slowly(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_in_two_parts(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (BUFFERED_BODY_BYTES + 2)
             + bytes(BUFFERED_BODY_BYTES + 1)
         )
-        await gate.open.wait()
+        await gate.is_open.wait()
         writer.write(b"x")
 
     async def test() -> None:
-        peer = await Peer(slowly).start()
+        peer = await Peer(respond_in_two_parts).start()
         async with running(peer) as stand:
-            client = Raw(stand)
+            client = RawClient(stand)
             client.send(request())
             await stand.event(Began)
             stand.agent.push(2, [peer.entry("s-1", "left")])
-            await told(stand, 2)
-            gate.open.set()
-            came = 0
-            while came < BUFFERED_BODY_BYTES:
-                came += len(await client.answer())
+            await wait_for_list(stand, 2)
+            gate.is_open.set()
+            received_bytes = 0
+            while received_bytes < BUFFERED_BODY_BYTES:
+                received_bytes += len(await client.receive())
             assert (await stand.outcome()).result == Result.OK
             assert not [record for record in caplog.records if record.levelname == "ERROR"]
 
     run(test())
 
 
-@pytest.mark.parametrize("how", [reset_now, socket.socket.close], ids=["reset", "end of stream"])
+@pytest.mark.parametrize(
+    "end_connection", [reset_socket, socket.socket.close], ids=["reset", "end of stream"]
+)
 def test_response_without_length_ends_with_end_of_stream_not_reset(
-    how: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
+    end_connection: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server_connections, "HOLD", 60.0)
 
-    class Spoken(RawPeer):
+    class RespondingPeer(RawPeer):
         async def answer(self, sock: socket.socket) -> None:
             await asyncio.get_running_loop().sock_recv(sock, 65536)
             sock.send(b"HTTP/1.1 200 OK\r\n\r\ndone")
-            how(sock)
+            end_connection(sock)
 
     async def test() -> None:
-        peer = Spoken()
+        peer = RespondingPeer()
         async with running(peer) as stand:
             status, _, body = await (await stand.client()).ask(request("pay"))
-            assert (status, body) == ((200, b"done") if how is socket.socket.close else (502, b""))
+            assert (status, body) == ((200, b"done") if end_connection is socket.socket.close else (502, b""))
         peer.close()
 
     run(test())
@@ -647,8 +654,8 @@
 # List watches.
 
 
-@pytest.mark.parametrize("cut", [0, 1, 40], ids=["whole", "bytes", "pieces"])
-def test_lists_may_be_indented_and_arrive_in_parts(cut: int) -> None:
+@pytest.mark.parametrize("part_size", [0, 1, 40], ids=["whole", "bytes", "pieces"])
+def test_lists_may_be_indented_and_arrive_in_parts(part_size: int) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -658,16 +665,16 @@
             agent.push(2, [peer.entry("s-1", "leaving"), peer.entry("s-2")])
             agent.push(3, [peer.entry("s-3")])
             data = b"".join(line for _ in range(2) if (line := agent.lines.get_nowait()) is not None)
-            for start in range(0, len(data), cut or len(data)):
-                agent.lines.put_nowait(data[start : start + cut] if cut else data)
-            await told(stand, 3)
+            for start in range(0, len(data), part_size or len(data)):
+                agent.lines.put_nowait(data[start : start + part_size] if part_size else data)
+            await wait_for_list(stand, 3)
             assert stand.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
             agent.lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
-            await told(stand, 4)
-            assert calls.empty()  # nothing had to be asked anew
-            agent.lines.put_nowait(b"{\n\n")  # an object can't go on after this
+            await wait_for_list(stand, 4)
+            assert calls.empty()  # no list was requested again
+            agent.lines.put_nowait(b"{\n\n")  # invalid inside an object
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
-            await told(stand, 1)
+            await wait_for_list(stand, 1)
 
     run(test())
 
@@ -678,7 +685,7 @@
         async with running(peer) as stand:
             line = json.dumps({"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]})
             stand.agent.lines.put_nowait(line.encode())
-            await told(stand, 2)
+            await wait_for_list(stand, 2)
 
     run(test())
 
@@ -713,43 +720,44 @@
 
 
 def test_silent_watch_timeouts_leave_time_for_delayed_call() -> None:
-    # Told 6 s after it fell silent, 0.5 s more for drains; a call waits 3 s before discovery fails it.
+    # A change must be known within 6 s of the silence, 6.5 s for drains; a call may wait 3 s until it fails.
     assert discovery.BEAT + 0.5 <= discovery.SILENCE <= 6.0 + 0.5 - 3.0 - discovery.RETRY_FIRST * 1.5
     assert discovery.ANSWER_TIME > 3.0
 
 
 def test_eviction_skips_client_that_is_disconnecting(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Its transport closes a turn later; until then it was the longest idle one, closed again and again.
-    looks, limit = 0, 2
+    # The transport of a disconnecting client closes a turn of the loop later. Until then it remained the
+    # longest idle connection, and eviction chose it again and again without end.
+    evictions, limit = 0, 2
     evict_connection = client_connections.Listener.evict_connection
-    leave = client_connections.ClientConnection.abandon
+    abandon = client_connections.ClientConnection.abandon
 
-    def count(
+    def count_evictions(
         listener: client_connections.Listener, newest: client_connections.ClientConnection | None
     ) -> bool:
-        nonlocal looks
-        looks += 1
-        return looks < 50 and evict_connection(listener, newest)
+        nonlocal evictions
+        evictions += 1
+        return evictions < 50 and evict_connection(listener, newest)
 
-    def leave_and_shrink(client: client_connections.ClientConnection) -> None:
-        leave(client)
-        if not looks:  # the first that leaves: its descriptor is not free yet
+    def abandon_and_lower_limit(client: client_connections.ClientConnection) -> None:
+        abandon(client)
+        if not evictions:  # the first to disconnect: its descriptor is still in use
             assert client in client.listener.connections
             client.listener.set_limit(limit)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            crowd = [await stand.client() for _ in range(6)]
-            for client in crowd:
+            clients = [await stand.client() for _ in range(6)]
+            for client in clients:
                 assert (await client.ask(request()))[0] == 200
             listener = stand.node.listener
             await wait_until(lambda: len(listener.idle) == 6)
-            monkeypatch.setattr(client_connections.Listener, "evict_connection", count)
-            monkeypatch.setattr(client_connections.ClientConnection, "abandon", leave_and_shrink)
-            crowd[0].writer.close()
-            await wait_until(lambda: looks)
-            assert looks < 50
+            monkeypatch.setattr(client_connections.Listener, "evict_connection", count_evictions)
+            monkeypatch.setattr(client_connections.ClientConnection, "abandon", abandon_and_lower_limit)
+            clients[0].writer.close()
+            await wait_until(lambda: evictions)
+            assert evictions < 50
             assert len(listener.connections) + len(listener.lingering) <= limit
-            assert (await crowd[-1].ask(request()))[0] == 200  # those idle for longer made room
+            assert (await clients[-1].ask(request()))[0] == 200  # the ones idle for longer were evicted
 
     run(test())
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of requests, attempts, closed connections and calls to discovery."""
+"""Log lines about requests, attempts, closed connections and calls to discovery."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
         async with running(await Peer().start()) as stand:
             assert await stand.agent.calls.get()
             stand.agent.lines.put_nowait(None)
-            assert await stand.agent.calls.get()  # it has ended and is asked anew
+            assert await stand.agent.calls.get()  # the watch has ended and is reopened
 
     run(test())
     assert any(
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node over loopback sockets: what goes on, what comes back, and what the module is told of it."""
+"""The node over loopback sockets: forwarding, responses, connection handling, and events for the policy."""
 
 from __future__ import annotations
 
@@ -55,20 +55,20 @@
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
-        typed = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        peer = await Peer(answer(typed)).start()
+        typed_response = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
+        peer = await Peer(answer(typed_response)).start()
         async with running(peer) as stand:
             client = await stand.client()
             data = request("book", body=b"\x00ride", Tenant="acme").replace(b"/cab7", b"/cab7?a=1&b=%20")
             status, head, body = await client.ask(data)
             assert (status, body, field(head, b"Content-Type")) == (200, b"done", b"x/y")
-            got = await peer.requests.get()
-            assert got.startswith(b"POST /book/cab7?a=1&b=%20 HTTP/1.1\r\n") and got.endswith(
+            forwarded = await peer.requests.get()
+            assert forwarded.startswith(b"POST /book/cab7?a=1&b=%20 HTTP/1.1\r\n") and forwarded.endswith(
                 b"\r\n\r\n\x00ride"
             )
             for name in (b"Request-Id", b"Idempotency-Key", b"Tenant", b"Host"):
-                assert field(got, name) == field(data, name)
-            left = field(got, b"Request-Timeout")
+                assert field(forwarded, name) == field(data, name)
+            left = field(forwarded, b"Request-Timeout")
             assert left is not None and left.endswith(b"m") and 0 < int(left[:-1]) <= 5000
 
     run(test())
@@ -119,7 +119,7 @@
             status, head, _ = await client.ask(request())
             assert (await stand.outcome()).result == result
             assert status == (200 if result is Result.OK else 503)
-            assert (field(head, b"Retry-After") is None) == (status == 200)  # who is refused is told when
+            assert (field(head, b"Retry-After") is None) == (status == 200)  # a refusal says when to retry
             assert not stand.node.held and not stand.node.pool.attempts
 
     run(test())
@@ -176,13 +176,13 @@
             node, client = stand.node, await stand.client()
             send = node.send
 
-            def drained_at_once(action: Send) -> None:
+            def send_then_drain(action: Send) -> None:
                 send(action)
                 stand.node.take_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            node.perform[Send] = drained_at_once
+            node.perform[Send] = send_then_drain
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(WAIT):
@@ -275,11 +275,11 @@
             pool, client = stand.node.pool, await stand.client()
             send = stand.node.send
 
-            def cancelled_at_once(action: Send) -> None:
+            def send_then_cancel(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.perform[Send] = cancelled_at_once
+            stand.node.perform[Send] = send_then_cancel
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == Result.CANCELLED
             stand.node.perform[Send] = send
@@ -290,14 +290,14 @@
 
 
 def test_cancel_at_connection_made_closes_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = ServerConnection.connection_made
+    connection_made = ServerConnection.connection_made
 
-    def cancelled_then(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
-        made(self, transport)
+    def cancel_when_made(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
+        connection_made(self, transport)
         for request_id, number in list(self.pool.attempts):
             self.pool.cancel(request_id, number)
 
-    monkeypatch.setattr(ServerConnection, "connection_made", cancelled_then)
+    monkeypatch.setattr(ServerConnection, "connection_made", cancel_when_made)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -313,18 +313,18 @@
 def test_bytes_on_idle_server_connection_close_it(caplog: pytest.LogCaptureFixture) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def keep(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def keep_writer(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
         writer.write(OK)
 
     async def test() -> None:
-        peer = await Peer(keep).start()
+        peer = await Peer(keep_writer).start()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             writers[0].write(OK.replace(b"done", b"late"))
             await asyncio.wait_for(peer.ended.get(), WAIT)
-            assert not caplog.records  # it ended on purpose, not by an exception
+            assert not caplog.records  # closed on purpose, not by an exception
             assert (await client.ask(request()))[2] == b"done"
             assert peer.connections == 2
 
@@ -350,12 +350,12 @@
             assert (await client.ask(request(Tenant="nobody")))[0] == 400
             data = request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
             assert (await client.ask(data))[0] == 200
-            told = await stand.event(Request)
-            assert (told.cls, told.tenant, told.key) == (1, 1, stable_id(b"42"))
-            assert (told.hint, told.repeat) == (2.5, True)
+            event = await stand.event(Request)
+            assert (event.cls, event.tenant, event.key) == (1, 1, stable_id(b"42"))
+            assert (event.hint, event.repeat) == (2.5, True)
             assert (await client.ask(request(Tenant="acme", Work_Hint="much")))[0] == 200
-            told = await stand.event(Request)
-            assert (told.cls, told.tenant, told.hint, told.repeat) == (0, 0, 0.0, False)
+            event = await stand.event(Request)
+            assert (event.cls, event.tenant, event.hint, event.repeat) == (0, 0, 0.0, False)
 
     run(test())
 
@@ -368,8 +368,8 @@
             assert (await (await stand.client()).ask(data.replace(b"Request-Timeout: 8000m\r\n", b"")))[
                 0
             ] == 200
-            got = await peer.requests.get()
-            assert (field(got, b"Tenant"), field(got, b"Idempotency-Key")) == (b"acme", b"5c0f")
+            forwarded = await peer.requests.get()
+            assert (field(forwarded, b"Tenant"), field(forwarded, b"Idempotency-Key")) == (b"acme", b"5c0f")
 
     run(test())
 
@@ -416,12 +416,12 @@
 def test_pipelined_requests_all_get_responses_when_node_stops() -> None:
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(OK)
 
     async def test() -> None:
-        peer = await Peer(held_back).start()
+        peer = await Peer(delayed_response).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request() * 3)
@@ -439,7 +439,7 @@
 def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # else it is not ready yet
+            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # before that the node is not ready
             client = await stand.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -448,7 +448,7 @@
     run(test())
 
 
-BAD = [
+INVALID_REQUESTS = [
     (b"nonsense\r\n\r\n", 400, True),
     (request().replace(b"Request-Id", b"X-Id"), 400, False),
     (request().replace(b"Request-Timeout", b"X-Timeout"), 400, False),
@@ -480,7 +480,7 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "status", "ends"), BAD, ids=range(len(BAD)))
+@pytest.mark.parametrize(("data", "status", "ends"), INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
 def test_invalid_request_is_rejected_and_not_forwarded(data: bytes, status: int, ends: bool) -> None:
     async def test() -> None:
         peer = await Peer().start()
@@ -502,10 +502,10 @@
             client = await stand.client()
             handle = stand.node.policy.handle
 
-            def broken(now: float, event: object) -> Any:
+            def raise_error(now: float, event: object) -> Any:
                 raise RuntimeError("broken on purpose")
 
-            stand.node.policy.handle = broken  # type: ignore[method-assign]
+            stand.node.policy.handle = raise_error  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 500
             stand.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
@@ -536,7 +536,7 @@
             stand.agent.lines.put_nowait(line + b"\n")
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
             assert await asyncio.wait_for(calls.get(), WAIT) == WATCH
-            # Not before the whole list has come: what the line was to tell counts as told.
+            # Only after the full list has arrived: a change in the malformed line counts as known.
             assert (await client.ask(request()))[0] == 200
 
     run(test())
@@ -601,17 +601,17 @@
 
     async def test() -> None:
         peer = await Peer().start()
-        # Where lists are pushed, a proof that discovery is down holds for half the grace; here there is one.
+        # Where lists are pushed, the list may be used for half the grace after discovery is known to be down.
+        # This test sets a grace.
         rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * WAIT)
         async with running(peer, settings=rules) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # an empty line: nothing has changed
-        monkeypatch.setattr(
-            discovery.Discovery, "run", lambda self: asyncio.Event().wait()
-        )  # it says nothing
+            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # confirmed by an empty line: no changes
+        # From here on discovery stays silent.
+        monkeypatch.setattr(discovery.Discovery, "run", lambda self: asyncio.Event().wait())
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
-            # What has changed since the list from before counts as told where it is pushed.
+            # Pushed changes since the list from before the restart count as known.
             assert (await client.ask(request()))[0] == (200 if asks else 503)
             stand.node.take_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
             stand.node.take_reach(Reach.CONFIRMED, now_ms())
@@ -621,7 +621,7 @@
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
-            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # it is down: the list from before has to do
+            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
 
@@ -658,13 +658,13 @@
     async def test() -> None:
         peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
-            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             data = request("book")
             assert (await (await stand.client()).ask(data))[0] == 503
             for peer in peers:
-                got = await asyncio.wait_for(peer.requests.get(), WAIT)
-                assert field(got, b"Idempotency-Key") == b"5c0f"
-                assert field(got, b"Request-Id") == field(data, b"Request-Id")
+                forwarded = await asyncio.wait_for(peer.requests.get(), WAIT)
+                assert field(forwarded, b"Idempotency-Key") == b"5c0f"
+                assert field(forwarded, b"Request-Id") == field(data, b"Request-Id")
 
     run(test())
 
@@ -724,13 +724,13 @@
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
-            crowd = [await stand.client() for _ in range(limit)]
-            for client in crowd:
+            clients = [await stand.client() for _ in range(limit)]
+            for client in clients:
                 assert (await client.ask(request()))[0] == 200
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
-            assert await crowd[0].end() == b""
-            assert (await crowd[1].ask(request()))[0] == 200
+            assert await clients[0].end() == b""
+            assert (await clients[1].ask(request()))[0] == 200
             assert len(stand.node.listener.connections) == limit
 
     run(test())
@@ -740,14 +740,14 @@
 def test_lingering_connections_count_against_descriptor_limit(ask: bool) -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            listener, most = stand.node.listener, 0
-            crowd = []
+            listener, max_open = stand.node.listener, 0
+            clients = []
             for _ in range(2 * listener.max_connections):
-                crowd.append(await stand.client())
+                clients.append(await stand.client())
                 if ask:
-                    assert (await crowd[-1].ask(request()))[0] == 200
-                most = max(most, len(listener.connections) + len(listener.lingering))
-            assert most <= listener.max_connections
+                    assert (await clients[-1].ask(request()))[0] == 200
+                max_open = max(max_open, len(listener.connections) + len(listener.lingering))
+            assert max_open <= listener.max_connections
             assert (await (await stand.client()).ask(request()))[0] == 200
 
     run(test())
@@ -788,11 +788,11 @@
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            proper, rude = await stand.client(), await stand.client()
-            assert (await proper.ask(request()))[0] == 200
-            rude.writer.write(data)
-            await rude.end()
-            assert (await proper.ask(request()))[0] == 200
+            valid, invalid = await stand.client(), await stand.client()
+            assert (await valid.ask(request()))[0] == 200
+            invalid.writer.write(data)
+            await invalid.end()
+            assert (await valid.ask(request()))[0] == 200
 
     run(test())
 
@@ -801,13 +801,13 @@
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
-            proper = await stand.client()
-            assert (await proper.ask(request()))[0] == 200
-            crowd = [await stand.client() for _ in range(limit)]
-            for client in crowd[-5:]:
+            valid = await stand.client()
+            assert (await valid.ask(request()))[0] == 200
+            clients = [await stand.client() for _ in range(limit)]
+            for client in clients[-5:]:
                 assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert await crowd[0].end() == b""
-            assert (await proper.ask(request()))[0] == 200
+            assert await clients[0].end() == b""
+            assert (await valid.ask(request()))[0] == 200
             assert len(stand.node.listener.connections) <= limit
 
     run(test())
@@ -829,9 +829,9 @@
             for i in range(0, len(data), 16):
                 slow.writer.write(data[i : i + 16])
                 await asyncio.sleep(0.15)
-                if i == 128:  # the other has stopped for long by now
-                    crowd = [await stand.client() for _ in range(limit - 4)]
-                    for client in crowd:
+                if i == 128:  # the stalled client is over the limit by now
+                    clients = [await stand.client() for _ in range(limit - 4)]
+                    for client in clients:
                         assert (await client.ask(request()))[0] == 200
                     for first in (silent, stopped, idle):
                         assert not first.reader.at_eof()
@@ -850,8 +850,8 @@
             (client,) = stand.node.listener.connections
             (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
             for connection in (client, server):
-                sock = connection.transport.get_extra_info("socket")
-                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+                connection_socket = connection.transport.get_extra_info("socket")
+                assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(test())
 
@@ -865,11 +865,11 @@
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
-            rude = await stand.client()
-            rude.writer.write(data)
-            rude.writer.write_eof()
-            with suppress(ConnectionError):  # a reset is as good an end
-                await rude.end()
+            invalid = await stand.client()
+            invalid.writer.write(data)
+            invalid.writer.write_eof()
+            with suppress(ConnectionError):  # a reset is allowed too
+                await invalid.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
             assert not stand.node.held
@@ -884,8 +884,8 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             client, data = await stand.client(), request("book", body=b"x" * 40)
-            places = [0, *sorted(cuts), len(data)]
-            for start, end in zip(places, places[1:], strict=False):
+            offsets = [0, *sorted(cuts), len(data)]
+            for start, end in zip(offsets, offsets[1:], strict=False):
                 client.writer.write(data[start:end])
                 await asyncio.sleep(0)
             assert (await client.answer())[0] == 200
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The node as a process: its start, its configuration, and its planned end."""
+"""The node as a process: start, configuration, signals and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -56,16 +56,16 @@
     environ = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     if change is not None:
         environ["ROUTER_CONFIG"] = str(path)
-    done = subprocess.run(COMMAND, env=environ, capture_output=True, text=True, check=False)
-    assert (done.returncode, done.stdout) == (2, "")
-    assert words in done.stderr and done.stderr.count("\n") == 1
+    completed = subprocess.run(COMMAND, env=environ, capture_output=True, text=True, check=False)
+    assert (completed.returncode, completed.stdout) == (2, "")
+    assert words in completed.stderr and completed.stderr.count("\n") == 1
 
 
 @asynccontextmanager
 async def running_process(
     path: Path, environ: Mapping[str, str] | None = None, wait: bool = True
 ) -> AsyncIterator[tuple[Process, int]]:
-    """A node, and its port: once it listens and has a list, unless it is not to be waited for."""
+    """Run a node process; yield it and its port, with `wait` once it listens and has a list."""
     node = await asyncio.create_subprocess_exec(
         *COMMAND,
         env=os.environ | {"ROUTER_CONFIG": str(path)} | dict(environ or {}),
@@ -99,7 +99,7 @@
 def test_sigterm_serves_pending_and_new_requests(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         await answer_ok(peer, head, writer)
 
@@ -109,23 +109,23 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path) as (node, port):
-            holder, idle = await connect(port), await connect(port)
+            pending, idle = await connect(port), await connect(port)
             assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            holder.writer.write(request())
+            pending.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
             node.send_signal(signal.SIGTERM)
             assert await idle.end() == b""  # an idle connection is closed
-            late = await connect(port)  # new ones are still taken
-            late.writer.write(request())
+            newcomer = await connect(port)  # new ones are still accepted
+            newcomer.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
             release.set()
-            for waiting in (holder, late):
+            for waiting in (pending, newcomer):
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 waiting.writer.close()
             assert await asyncio.wait_for(node.wait(), WAIT) == 0
 
-    uvloop.run(test(held_back))
+    uvloop.run(test(delayed_response))
 
 
 def test_sighup_moves_watch_and_keeps_connections(tmp_path: Path) -> None:
@@ -155,12 +155,12 @@
     uvloop.run(test())
 
 
-async def ends_cleanly(node: Process) -> None:
-    """With exit code 0 and no traceback on the way."""
+async def wait_for_clean_exit(node: Process) -> None:
+    """Wait for exit code 0 without a traceback or an error in the log."""
     assert node.stderr is not None
-    said = (await asyncio.wait_for(node.stderr.read(), WAIT)).decode()
+    log_text = (await asyncio.wait_for(node.stderr.read(), WAIT)).decode()
     assert await asyncio.wait_for(node.wait(), WAIT) == 0
-    assert "Traceback" not in said and "ERROR" not in said, said
+    assert "Traceback" not in log_text and "ERROR" not in log_text, log_text
 
 
 @pytest.mark.parametrize(
@@ -180,16 +180,16 @@
 ) -> None:
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         await answer_ok(peer, head, writer)
 
     async def test() -> None:
-        peer = await Peer(held_back).start()
+        peer = await Peer(delayed_response).start()
         agent = await Agent([peer.entry()]).start()
         raw = raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}
         if not ready:
-            raw["discovery"] = "127.0.0.1:1"  # nobody is there: it never has a list
+            raw["discovery"] = "127.0.0.1:1"  # nothing listens there: the node never gets a list
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw))
         async with running_process(path, wait=ready) as (node, port):
@@ -210,7 +210,7 @@
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 assert await client.end() == b""
                 client.writer.close()
-            await ends_cleanly(node)
+            await wait_for_clean_exit(node)
 
     uvloop.run(test())
 
@@ -222,28 +222,28 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path) as (node, port):
-            soon, never, data = await connect(port), await connect(port), request()
-            soon.writer.write(data[:40])
-            never.writer.write(data[:40])
-            await soon.writer.drain()
-            await a_turn(port)
+            finishing, unfinished, data = await connect(port), await connect(port), request()
+            finishing.writer.write(data[:40])
+            unfinished.writer.write(data[:40])
+            await finishing.writer.drain()
+            await wait_for_loop_turn(port)
             node.send_signal(signal.SIGTERM)
             while "stopping" not in await log_line(node):
                 pass
-            soon.writer.write(data[40:])
-            assert (await soon.answer())[0] == 200
-            status, head, _ = await never.answer()
+            finishing.writer.write(data[40:])
+            assert (await finishing.answer())[0] == 200
+            status, head, _ = await unfinished.answer()
             assert (status, field(head, b"Connection")) == (503, b"close")
-            for each in (soon, never):
+            for each in (finishing, unfinished):
                 assert await each.end() == b""
                 each.writer.close()
-            await ends_cleanly(node)
+            await wait_for_clean_exit(node)
 
     uvloop.run(test())
 
 
-async def a_turn(port: int) -> None:
-    """A turn of the node's loop passes: what came before it is read."""
+async def wait_for_loop_turn(port: int) -> None:
+    """Wait for a turn of the node's loop, so that it has read everything sent before."""
     other = await connect(port)
     await other.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
     other.writer.close()
