--- a/flaxstep/proxy/config.py
+++ b/flaxstep/proxy/config.py
@@ -29,11 +29,11 @@
     listen: Address
     discovery: Address
     admin: Address | None  # of the admin port; None: there is none
-    shared: Path | None  # the folder with the state shared by the node's processes; None: no such state
+    shared_folder: Path | None  # with the state that the node's processes share; None: no such state
     seed: int
     sockets: int  # limit of file descriptors of the process
     memory_mb: int  # limit of memory; over it the process is killed
-    known: dict[str, Any]  # the server list that the node had before its start; empty: none
+    known_list: dict[str, Any]  # the server list that the node had before its start; empty: none
     settings: Settings
     # From names in the settings to their positions there.
     classes: dict[bytes, int]
@@ -81,11 +81,11 @@
             listen=parse_address(environ.get("ROUTER_LISTEN") or raw["listen"]),
             discovery=parse_address(environ.get("ROUTER_DISCOVERY") or raw["discovery"]),
             admin=parse_address(admin) if admin else None,
-            shared=Path(environ["TMPDIR"]) if admin and environ.get("TMPDIR") else None,
+            shared_folder=Path(environ["TMPDIR"]) if admin and environ.get("TMPDIR") else None,
             seed=int(raw["seed"], 16),
             sockets=int(raw["limits"]["sockets"]),
             memory_mb=int(raw["limits"]["memory_mb"]),
-            known=dict(raw.get("known") or {}),
+            known_list=dict(raw.get("known") or {}),
             settings=read_settings(json.dumps(settings).encode()),
             classes={entry["Name"].encode(): i for i, entry in enumerate(settings["Classes"])},
             tenants={entry["Name"].encode(): i for i, entry in enumerate(settings.get("Customers", ()))},
--- a/flaxstep/proxy/connection_close.py
+++ b/flaxstep/proxy/connection_close.py
@@ -61,7 +61,7 @@
     """Close a connection within this call: the transport itself would close it in the loop's next turn."""
     connection_socket = transport.get_extra_info("socket")
     if connection_socket is not None and not transport.is_closing():
-        duplicate = socket.socket(
+        borrowed_socket = socket.socket(
             connection_socket.family,
             connection_socket.type,
             connection_socket.proto,
@@ -69,9 +69,9 @@
         )
         try:
             with suppress(OSError):  # the other side may have closed it
-                duplicate.shutdown(socket.SHUT_WR)
+                borrowed_socket.shutdown(socket.SHUT_WR)
         finally:
-            duplicate.detach()  # the descriptor stays the transport's
+            borrowed_socket.detach()  # the descriptor stays the transport's
     transport.abort()
 
 
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -154,13 +154,13 @@
             Log: self.log,
             Subscribe: self.subscribe,
         }
-        self.handover = SharedState(config.shared, config.name, self.take_shared)
+        self.handover = SharedState(config.shared_folder, config.name, self.take_shared)
         if config.admin is not None:
             self.handover.start()  # before the list: who is out must not be sent anything
         self.tell(DiscoveryReach(Reach.STARTED))
-        if config.known.get("instances"):
+        if config.known_list.get("instances"):
             try:
-                self.discovery.version = self.take_members(config.known, ListKind.CACHED)
+                self.discovery.version = self.take_members(config.known_list, ListKind.CACHED)
             except ValueError as error:
                 log.warning("the known list is malformed: %s", error)
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -177,11 +177,11 @@
         "listen": ("127.0.0.1", 0),
         "discovery": ("127.0.0.1", discovery),
         "admin": None,
-        "shared": None,
+        "shared_folder": None,
         "seed": 1,
         "sockets": 1024,
         "memory_mb": 128,
-        "known": {},
+        "known_list": {},
         "settings": Settings(classes=classes, may_cancel=True, max_attempts=attempts, max_retry_after=600.0),
         "classes": {name.encode(): i for i, name in enumerate(CLASSES)},
         "tenants": {},
@@ -242,7 +242,7 @@
     entries = [peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]
     agent = await Agent(entries).start()
     known = {"generation": 1, "reset": True, "instances": entries}
-    node = Node(config(agent.port, **{"known": known} | changes), asyncio.get_running_loop())
+    node = Node(config(agent.port, **{"known_list": known} | changes), asyncio.get_running_loop())
     stand = Stand(node, agent)
     await node.start()
     try:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -106,7 +106,7 @@
 
 def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
-        async with running(admin=ADMIN_ADDRESS, known={}) as stand:
+        async with running(admin=ADMIN_ADDRESS, known_list={}) as stand:
             stand.node.healthy = False  # the state before the first list
             assert (await stand.call("GET", "health"))[0] == 503
 
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -159,9 +159,9 @@
 def test_a_call_to_either_process_holds_in_both(tmp_path: Path) -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=ADMIN_ADDRESS, shared=tmp_path) as old:
+        async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as old:
             assert (await old.call("POST", "cordon", b"s-1"))[0] == 200
-            async with running(*peers, admin=ADMIN_ADDRESS, shared=tmp_path) as new:
+            async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as new:
                 ids = {stable_id(b"s-1"), stable_id(b"s-2")}
                 assert new.node.policy.cordoned == {stable_id(b"s-1")}  # from the start
                 assert (await new.call("POST", "cordon", b"s-2"))[0] == 200
@@ -173,7 +173,7 @@
                 client = await new.client()
                 assert (await client.ask(request()))[0] == 200
                 assert (peers[0].requests.qsize(), peers[1].requests.qsize()) == (1, 0)
-            async with running(*peers, admin=ADMIN_ADDRESS, shared=tmp_path) as third:
+            async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as third:
                 assert third.node.policy.cordoned == {stable_id(b"s-2")}
                 assert third.node.policy.returned.keys() == {stable_id(b"s-1")}  # cold for it too
 
@@ -224,7 +224,7 @@
         assert not stand.node.policy.cordoned
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared=tmp_path) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
             await test(stand)
 
     run(whole())
@@ -274,7 +274,7 @@
     monkeypatch.setattr(shared_state, "read_limited", fail)
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared=tmp_path) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
             assert not left[0]
             assert stand.node.policy.cordoned == {stable_id(b"s-1")}
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -583,7 +583,7 @@
 def test_health_check_fails_without_list() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, known={}) as stand:
+        async with running(peer, known_list={}) as stand:
             client = await stand.client()
             await stand.event(ServerList)
             assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -122,13 +122,13 @@
 def test_two_processes_halve_what_each_may_hold(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, admin=ADMIN_ADDRESS, shared=tmp_path, sockets=256) as old:
+        async with running(peer, admin=ADMIN_ADDRESS, shared_folder=tmp_path, sockets=256) as old:
             clients = [await old.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(request()))[0] == 200
             whole = (old.node.listener.max_connections, old.node.pool.max_connections)
             assert whole == connection_limits(256) and sum(whole) < 256
-            async with running(peer, admin=ADMIN_ADDRESS, shared=tmp_path, sockets=256) as new:
+            async with running(peer, admin=ADMIN_ADDRESS, shared_folder=tmp_path, sockets=256) as new:
                 await wait_until(lambda: old.node.listener.max_connections < whole[0])
                 half = connection_limits(128)
                 for stand in (old, new):
