--- a/flaxstep/proxy/client_connections.py
+++ b/flaxstep/proxy/client_connections.py
@@ -1,4 +1,4 @@
-"""The side of the clients: the listener, request parsing, and final answers."""
+"""Client connections: the listener, the parsing and checking of requests, and the responses to clients."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 import httptools
 
 from flaxstep.proxy.config import Config
-from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response, reset
-from flaxstep.proxy.event_log import event
+from flaxstep.proxy.connection_close import STATUS_LINES, close_after_response, reset_connection
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.request_bodies import (
     BUFFERED_BODY_BYTES,
     MAX_REQUEST_BODY_BYTES,
@@ -27,269 +27,326 @@
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Effect
 
-MAX_HEAD = 16384  # bytes of request line and headers
-MAX_WAITING = 16  # requests sent ahead on one connection, after which it is read no further
-REQUEST_TIME = 2.6  # s that a client may take to send one request; some take 2 s for the head
-PROVE_TIME = 2.6  # s from its opening in which a connection must bring a proper request; 3 s are owed at most
-# Of a body, for which a client gets more time; slow ones send twice as much.
+MAX_HEAD_BYTES = 16384  # of the request line and all headers
+MAX_PIPELINED_REQUESTS = 16  # queued on one connection; with more, reading from it pauses
+REQUEST_TIMEOUT_S = 2.6  # for a client to send one request; some clients take 2 s for the head alone
+# From the opening of a connection to its first valid request. A client must be given up after at most 3 s.
+FIRST_REQUEST_TIMEOUT_S = 2.6
+# A body that arrives at this rate extends the timeouts of its request; slow clients send twice as fast.
 MIN_UPLOAD_BYTES_PER_S = 32768
-BACKLOG = 4096  # connections that the kernel may queue; it takes off what is over its own limit
-STOPPED = 0.5  # s without a byte of its first request after which a connection makes room before idle ones
-LOOK = 0.1  # s between looks for connections that bring nothing
-FRESH = 0.3  # s from its opening in which a connection may bring its first request though the node drains
+MAX_ACCEPT_QUEUE = 4096  # the listen() backlog in connections; the kernel caps it at its own limit
+# Without a byte of its first request for this long, a connection is evicted before idle ones.
+FIRST_REQUEST_STALL_S = 0.5
+SWEEP_INTERVAL_S = 0.1  # between searches for connections that send no valid request
+# From the opening of a connection: during a drain it may still send its first request for this long.
+DRAIN_GRACE_FOR_NEW_S = 0.3
 HEALTH_PATH = b"/_health"
 
-_TIMEOUT = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
-_ABSOLUTE = re.compile(rb"https?://[^/?#]+", re.IGNORECASE)
-_DIGITS = re.compile(rb"\d{1,9}")
-_OWN = frozenset(  # headers that concern one connection only, or that each attempt writes anew
+_TIMEOUT_PATTERN = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])")
+_ABSOLUTE_URL_PREFIX = re.compile(rb"https?://[^/?#]+", re.IGNORECASE)
+_DIGITS_PATTERN = re.compile(rb"\d{1,9}")
+# Hop-by-hop headers, and headers that each attempt writes with values of its own.
+_HEADERS_NOT_FORWARDED = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"expect", b"content-length", b"request-timeout")
 )  # fmt: skip
 
 
 def stable_id(name: bytes) -> int:
-    """A number for a name, never 0, and the same at every node and after every start."""
+    """Hash a name to a non-zero number that is the same at every node and after every start."""
     return int.from_bytes(blake2b(name, digest_size=8).digest()) or 1
 
 
 class BadRequest(Exception):
-    """A request that can't be taken: the status that says why, and header lines that go with it."""
+    """A request that is rejected: the status of the response, and header lines to send with it."""
 
-    def __init__(self, status: int, extra: bytes = b"") -> None:
+    def __init__(self, status: int, extra_headers: bytes = b"") -> None:
         self.status = status
-        self.extra = extra
+        self.extra_headers = extra_headers
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A checked request."""
+    """A valid request from a client.
+
+    `key` is the hash of the last part of the path after the class; the policy may route by it. 0: none.
+    """
 
     message: ForwardedRequest
     cls: int
     tenant: int
     key: int
-    sent: float  # as near as the node can tell
-    timeout: float  # ms from then until the client gives up
-    hint: float  # the client's guess at the work in ms, 0: none
-    repeat: bool  # marked as the client's retry
-    expects: bool = False  # the client waits for a go-ahead before it sends the body
+    sent_at_ms: float  # when the node parsed the request, the closest known time to its sending
+    timeout_ms: float  # from then until the client gives up
+    work_hint_ms: float  # the client's estimate of the work; 0: none given
+    is_client_retry: bool  # the client has marked it with Client-Retry
+    awaits_continue: bool = False  # the client sends the body only after a 100 (Continue) response
 
 
 class HealthCheck:
-    """The front asks whether the node can serve."""
+    """A request of the load balancer in front of the nodes: can this node serve requests?"""
 
 
 class RequestHandler(Protocol):
-    """What takes the requests."""
+    """Receives valid requests and events of their clients; the node implements it."""
 
     @property
     def ready(self) -> bool:
-        """Whether the front may send clients here."""
+        """Whether the health check succeeds, so that clients are sent here."""
 
     @property
     def draining(self) -> bool:
-        """Whether each connection ends with its last answer."""
+        """Whether the node drains: each connection is closed after its last response."""
 
     def accept_request(self, client: ClientConnection, request: ClientRequest) -> None:
-        """Take on a request and give the connection its number."""
+        """Start to serve a request and set the connection's `request_id` to its number."""
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
-        """The last byte of a body that was passed on as it came has come."""
+        """The last byte of a body that is forwarded while it arrives has been received."""
 
     def client_gone(self, request_id: int) -> None:
-        """The client has gone away."""
+        """The client has disconnected or broken off its request: no response can be sent."""
 
-    def pause_response(self, request_id: int, hold: bool) -> None:
-        """The client takes no more for now, or takes more again."""
+    def pause_response(self, request_id: int, pause: bool) -> None:
+        """Pause the response while the client does not read it fast enough, or resume it."""
 
 
 class Listener:
-    """All connections of clients."""
+    """Accepts client connections and keeps them within the limit of descriptors.
+
+    A connection that has sent no valid request in time is closed, and so is an idle one while the node
+    drains. Over the limit, the connections that cost their clients least are evicted.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         config: Config,
         handler: RequestHandler,
-        limit: int,
+        max_connections: int,
         body_budget: BodyBudget,
     ) -> None:
         self.loop = loop
         self.body_budget = body_budget
         self.config = config
         self.handler = handler
-        self.limit = limit
+        self.max_connections = max_connections
         self.connections: set[ClientConnection] = set()
-        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()  # shut, until they close too
-        self.paused: dict[int, ClientConnection] = {}  # by descriptor: those that are not read now
-        # Where each connection stands that serves nothing now, and since when, the longest first.
-        self.silent: OrderedDict[ClientConnection, float] = OrderedDict()  # has sent nothing
-        self.partial: OrderedDict[ClientConnection, float] = OrderedDict()  # is in its first request
+        # Connections closed on this side that wait for the client to close too. They still hold descriptors.
+        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.read_paused: dict[int, ClientConnection] = {}  # by descriptor
+        # Candidates for eviction, each with the loop time since which it is in that state, oldest first.
+        self.awaiting_first_byte: OrderedDict[ClientConnection, float] = OrderedDict()
+        self.receiving_first_request: OrderedDict[ClientConnection, float] = OrderedDict()
         self.idle: OrderedDict[ClientConnection, float] = OrderedDict()  # between requests
-        self.adopting: set[asyncio.Task[Any]] = set()  # of connections that came before the listener closed
-        self.unproven: OrderedDict[ClientConnection, float] = OrderedDict()  # no proper request yet: opened
+        # Connections that were in the kernel's queue when the listener closed.
+        self.accept_tasks: set[asyncio.Task[Any]] = set()
+        # Connections that have sent no valid request yet, with the loop time at which they opened.
+        self.awaiting_first_request: OrderedDict[ClientConnection, float] = OrderedDict()
 
     async def start(self) -> asyncio.Server:
-        self.socket = self.bind()
+        """Listen on the configured address."""
+        self.socket = self.bind_socket()
         try:
-            self.server = await self.loop.create_server(self.connection, sock=self.socket, backlog=BACKLOG)
+            self.server = await self.loop.create_server(
+                self.create_connection, sock=self.socket, backlog=MAX_ACCEPT_QUEUE
+            )
         except OSError:
             self.socket.close()
             raise
-        self.loop.call_later(LOOK, self.look)
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep_connections)
         return self.server
 
-    def bind(self) -> socket.socket:
+    def bind_socket(self) -> socket.socket:
+        """Return a socket bound to the configured address."""
         host, port = self.config.listen
         family, kind, protocol, _, address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
-        bound = socket.socket(family, kind, protocol)
+        listening_socket = socket.socket(family, kind, protocol)
         try:
-            bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            if self.config.admin is not None:  # a successor may listen beside this process
-                bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            bound.setblocking(False)
-            bound.bind(address)
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            if self.config.admin is not None:  # during an upgrade the new process listens on the same port
+                listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            listening_socket.setblocking(False)
+            listening_socket.bind(address)
         except OSError:
-            bound.close()
+            listening_socket.close()
             raise
-        return bound
+        return listening_socket
 
-    def connection(self) -> ClientConnection:
+    def create_connection(self) -> ClientConnection:
         return ClientConnection(self)
 
-    def stop(self) -> None:
-        """No new connections from now on. Those that the kernel has queued would be reset: they are taken."""
+    def stop_accepting(self) -> None:
+        """Close the listening socket, but first accept what the kernel has queued: a close would reset it."""
         while True:
             try:
-                accepted, _ = self.socket.accept()
-            except OSError:  # none is left, or no descriptor for it
+                accepted_socket, _ = self.socket.accept()
+            except OSError:  # the queue is empty, or no descriptor is left
                 break
-            accepted.setblocking(False)
-            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            adopting = self.loop.create_task(self.loop.connect_accepted_socket(self.connection, accepted))
-            self.adopting.add(adopting)
-            adopting.add_done_callback(self.adopting.discard)
+            accepted_socket.setblocking(False)
+            accepted_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            accept_task = self.loop.create_task(
+                self.loop.connect_accepted_socket(self.create_connection, accepted_socket)
+            )
+            self.accept_tasks.add(accept_task)
+            accept_task.add_done_callback(self.accept_tasks.discard)
         self.server.close()
 
     @property
-    def occupied(self) -> bool:
-        """Whether a client is here still, also one that is just being taken or has yet to close."""
-        return bool(self.connections or self.lingering or self.adopting)
-
-    def set_limit(self, limit: int) -> None:
-        self.limit = limit
-        self.keep_to_limit(None)
-
-    def opened(self, client: ClientConnection) -> None:
-        event("client_connected", connection=client.descriptor)
+    def has_clients(self) -> bool:
+        """Whether any client is connected, including those being accepted and those lingering."""
+        return bool(self.connections or self.lingering or self.accept_tasks)
+
+    def set_limit(self, max_connections: int) -> None:
+        """Change the limit of connections, and evict those over it."""
+        self.max_connections = max_connections
+        self.enforce_connection_limit(None)
+
+    def on_connection_opened(self, client: ClientConnection) -> None:
+        """Supervise a new connection, and evict another if it is one too many."""
+        log_event("client_connected", connection=client.descriptor)
         self.connections.add(client)
-        self.silent[client] = self.unproven[client] = self.loop.time()
-        self.keep_to_limit(client)
-
-    def keep_to_limit(self, newest: ClientConnection | None) -> None:
-        """Who is told of its end still holds its descriptor: it makes room in the step after that."""
-        while len(self.connections) + len(self.lingering) > self.limit and self.make_room(newest):
+        self.awaiting_first_byte[client] = self.awaiting_first_request[client] = self.loop.time()
+        self.enforce_connection_limit(client)
+
+    def enforce_connection_limit(self, newest: ClientConnection | None) -> None:
+        """Evict connections until the limit is met.
+
+        An evicted connection is closed in an orderly way and lingers with its descriptor; the next
+        iteration aborts it once all that was written to it has been sent.
+        """
+        while len(self.connections) + len(self.lingering) > self.max_connections and self.evict_connection(
+            newest
+        ):
             pass
 
-    def make_room(self, newest: ClientConnection | None) -> bool:
-        """One makes room: who was told of its end, who has brought nothing of use, else, as a close does no
-        harm, who is idle."""
-        for shut in self.lingering:
-            if not shut.transport.get_write_buffer_size():
-                del self.lingering[shut]
-                shut.transport.abort()
+    def evict_connection(self, newest: ClientConnection | None) -> bool:
+        """Close one connection and return whether there was one.
+
+        First come connections that linger, then those that have sent nothing, or no byte of their first
+        request for some time. Then come idle ones, as clients cope with a close between requests, and last
+        those whose first request still arrives.
+        """
+        for lingering in self.lingering:
+            if not lingering.transport.get_write_buffer_size():
+                del self.lingering[lingering]
+                lingering.transport.abort()
                 return True
-        stopped = next(iter(self.partial), None)
-        if stopped is not None and self.partial[stopped] > self.loop.time() - STOPPED:
-            stopped = None
-        ways = (
-            next(iter(self.silent), None),
-            stopped,
+        stalled = next(iter(self.receiving_first_request), None)
+        if (
+            stalled is not None
+            and self.receiving_first_request[stalled] > self.loop.time() - FIRST_REQUEST_STALL_S
+        ):
+            stalled = None
+        candidates = (
+            next(iter(self.awaiting_first_byte), None),
+            stalled,
             next(iter(self.idle), None),
-            next(iter(self.partial), None),
+            next(iter(self.receiving_first_request), None),
         )
-        for client in ways:
+        for client in candidates:
             if client is not None and client is not newest:
                 client.close("makes_room")
                 return True
         return False
 
-    def heard(self, client: ClientConnection) -> None:
-        """Bytes have come."""
-        if client in self.unproven:
-            self.silent.pop(client, None)
-            self.partial[client] = self.loop.time()
-            self.partial.move_to_end(client)
-
-    def proven(self, client: ClientConnection) -> None:
-        self.unproven.pop(client, None)
-        self.partial.pop(client, None)
-
-    def shut(self, client: ClientConnection) -> None:
-        """Its last answer is written: it counts until it is closed, and nothing more is taken on it."""
-        self.closed(client)
+    def on_bytes_received(self, client: ClientConnection) -> None:
+        """Note that a connection without a valid request so far makes progress."""
+        if client in self.awaiting_first_request:
+            self.awaiting_first_byte.pop(client, None)
+            self.receiving_first_request[client] = self.loop.time()
+            self.receiving_first_request.move_to_end(client)
+
+    def on_valid_request(self, client: ClientConnection) -> None:
+        """End the supervision of a connection that has sent a valid request."""
+        self.awaiting_first_request.pop(client, None)
+        self.receiving_first_request.pop(client, None)
+
+    def start_lingering(self, client: ClientConnection) -> None:
+        """Note that the last response is written. The connection counts against the limit until it closes."""
+        self.on_connection_closed(client)
         self.lingering[client] = None
 
-    def closed(self, client: ClientConnection) -> None:
+    def on_connection_closed(self, client: ClientConnection) -> None:
+        """Forget a connection whose transport has closed, or that lingers from now on."""
         self.connections.discard(client)
         self.lingering.pop(client, None)
-        self.left(client)
-
-    def left(self, client: ClientConnection) -> None:
-        """It can make no room any more. Its descriptor counts until its transport closes, a turn later."""
-        for where in (self.silent, self.partial, self.idle, self.unproven):
-            where.pop(client, None)
-
-    def look_for_the_gone(self) -> None:
-        """A connection that is not read tells of its end only when asked."""
-        if not self.paused:
+        self.exclude_from_eviction(client)
+
+    def exclude_from_eviction(self, client: ClientConnection) -> None:
+        """Neither evict nor time out this connection, which is about to close.
+
+        Its descriptor still counts until its transport closes in the next turn of the loop.
+        """
+        for group in (
+            self.awaiting_first_byte,
+            self.receiving_first_request,
+            self.idle,
+            self.awaiting_first_request,
+        ):
+            group.pop(client, None)
+
+    def detect_closed_while_paused(self) -> None:
+        """Poll for clients that have closed while reading is paused: the transport does not report those."""
+        if not self.read_paused:
             return
-        asked = select.poll()
-        for descriptor in self.paused:
-            asked.register(descriptor, select.POLLRDHUP)
-        for descriptor, _ in asked.poll(0):
-            if (client := self.paused.get(descriptor)) is not None:  # one that goes may let another read on
-                client.gone()
-
-    def look(self) -> None:
-        """Who connects and brings no proper request must not hold a descriptor."""
-        self.loop.call_later(LOOK, self.look)
-        self.look_for_the_gone()
-        before = self.loop.time() - PROVE_TIME
-        for client, opened in [item for item in self.unproven.items() if item[1] < before]:
-            client.give_up(before - opened)
+        poller = select.poll()
+        for descriptor in self.read_paused:
+            poller.register(descriptor, select.POLLRDHUP)
+        for descriptor, _ in poller.poll(0):
+            # Closing one connection may resume reading on another that was polled with it.
+            if (client := self.read_paused.get(descriptor)) is not None:
+                client.abandon_paused()
+
+    def sweep_connections(self) -> None:
+        """Close connections whose client has gone or sent no valid request in time.
+
+        They must not hold descriptors.
+        """
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep_connections)
+        self.detect_closed_while_paused()
+        oldest_allowed = self.loop.time() - FIRST_REQUEST_TIMEOUT_S
+        for client, opened_at in [
+            entry for entry in self.awaiting_first_request.items() if entry[1] < oldest_allowed
+        ]:
+            client.on_first_request_timeout(oldest_allowed - opened_at)
         if self.handler.draining:
             self.close_idle()
 
     def close_idle(self) -> None:
-        """A client that sees its connection close comes back elsewhere. One just opened may yet ask."""
-        fresh = self.loop.time() - FRESH
-        for client in [*self.idle, *(client for client, opened in self.silent.items() if opened < fresh)]:
+        """Close idle connections, so that their clients reconnect to another node.
+
+        A connection that has only just opened may still send its first request.
+        """
+        opened_before = self.loop.time() - DRAIN_GRACE_FOR_NEW_S
+        for client in [
+            *self.idle,
+            *(client for client, opened_at in self.awaiting_first_byte.items() if opened_at < opened_before),
+        ]:
             client.close("draining")
 
-    def turn_away(self) -> None:
-        """Who has not sent its whole request by now is told that the node ends."""
+    def reject_unfinished_requests(self) -> None:
+        """Respond with 503 to requests that are still arriving, and close connections that serve none."""
         for client in list(self.connections):
-            if client.reading and not client.ended:
+            if client.receiving_request and not client.input_finished:
                 client.stop_reading(BadRequest(503))
-                client.next()
-            elif not client.busy:
+                client.serve_next_requests()
+            elif not client.serving_request:
                 client.close("stopping")
 
-    def waiting(self) -> int:
-        """Requests that have come whole and wait behind others on their connections."""
-        items = [item for client in self.connections for item, _ in client.waiting]
-        requests = [item.message for item in items if isinstance(item, ClientRequest)]
-        return sum(message.upload is None or message.upload.whole for message in requests)
+    def count_queued_requests(self) -> int:
+        """The number of complete requests that wait for earlier ones on the same connection."""
+        queued_items = [entry for client in self.connections for entry, _ in client.queued_requests]
+        requests = [entry.message for entry in queued_items if isinstance(entry, ClientRequest)]
+        return sum(message.upload is None or message.upload.complete for message in requests)
 
-    def check(
+    def validate_request(
         self, parser: httptools.HttpRequestParser, url: bytes, headers: Headers
     ) -> tuple[int, int, int]:
-        """Class, tenant and key of a request, or BadRequest."""
+        """Return the class, tenant and key of a request; raise BadRequest if it is invalid."""
         parts = url.partition(b"?")[0].split(b"/")
         if parts[0] or len(parts) < 2:
-            raise BadRequest(400)  # no path from the root
+            raise BadRequest(400)  # not an absolute path
         cls = self.config.classes.get(parts[1])
         if cls is None:
             raise BadRequest(404)
@@ -298,375 +355,392 @@
         if parser.get_method() != method:
             raise BadRequest(405, b"Allow: %b\r\n" % method)
         tenant = self.config.tenants.get(headers.tenant or b"") if self.config.tenants else 0
-        if headers.bad or not headers.request_id or tenant is None:
+        if headers.malformed or not headers.request_id or tenant is None:
+            raise BadRequest(400)
+        if effect is not Effect.SAFE and (headers.idempotency_key is None) == (effect is Effect.KEYED):
+            # A keyed request without its key, or a key in a class whose servers don't detect repeats.
             raise BadRequest(400)
-        if effect is not Effect.SAFE and (headers.key is None) == (effect is Effect.KEYED):
-            raise BadRequest(400)  # keyed with no key, or a key where a repeat can't be told
         key = stable_id(parts[-1]) if len(parts) > 2 and parts[-1] else 0
         return cls, tenant, key
 
 
 class Headers:
-    """The headers of one request: what the node reads of them, and the lines that go on."""
+    """The headers of one request: the values that the node uses, and the lines that it forwards."""
 
     __slots__ = (
-        "bad", "chunked", "expects", "hint", "key", "length", "lines", "repeat", "request_id", "size",
-        "tenant", "timeout", "whole",
+        "malformed", "chunked", "awaits_continue", "work_hint_ms", "idempotency_key", "content_length",
+        "forwarded_lines", "is_client_retry", "request_id", "size_bytes", "tenant", "timeout_ms", "complete",
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []
-        self.size = self.length = 0
-        self.bad = self.chunked = self.expects = self.whole = False
+        self.forwarded_lines: list[bytes] = []
+        self.size_bytes = self.content_length = 0
+        self.malformed = self.chunked = self.awaits_continue = self.complete = False
         self.request_id: bytes | None = None
         self.tenant: bytes | None = None
-        self.key: bytes | None = None
-        self.timeout: float | None = None
-        self.hint, self.repeat = 0.0, False
+        self.idempotency_key: bytes | None = None
+        self.timeout_ms: float | None = None
+        self.work_hint_ms, self.is_client_retry = 0.0, False
 
     def add(self, name: bytes, value: bytes) -> None:
-        lower = name.lower()
-        if lower == b"request-id":
-            self.bad = self.bad or self.request_id is not None
+        """Interpret one header, and keep its line if it is to be forwarded."""
+        lower_name = name.lower()
+        if lower_name == b"request-id":
+            self.malformed = self.malformed or self.request_id is not None
             self.request_id = value
-        elif lower == b"tenant":
-            self.bad = self.bad or self.tenant is not None
+        elif lower_name == b"tenant":
+            self.malformed = self.malformed or self.tenant is not None
             self.tenant = value
-        elif lower == b"idempotency-key":
-            self.bad = self.bad or self.key is not None or not value
-            self.key = value
-        elif lower == b"request-timeout":
-            match = _TIMEOUT.fullmatch(value)
-            self.bad = self.bad or self.timeout is not None or match is None
+        elif lower_name == b"idempotency-key":
+            self.malformed = self.malformed or self.idempotency_key is not None or not value
+            self.idempotency_key = value
+        elif lower_name == b"request-timeout":
+            match = _TIMEOUT_PATTERN.fullmatch(value)
+            self.malformed = self.malformed or self.timeout_ms is not None or match is None
             if match is not None:
-                self.timeout = float(match[1]) / (1 if match[2] == b"m" else 1000)
-        elif lower == b"content-length":
-            self.length = int(value)  # the parser has refused all but digits
-        elif lower == b"transfer-encoding":
-            if value.lower() != b"chunked":  # no other coding is undone here
+                self.timeout_ms = float(match[1]) / (1 if match[2] == b"m" else 1000)
+        elif lower_name == b"content-length":
+            self.content_length = int(value)  # the parser accepts digits only
+        elif lower_name == b"transfer-encoding":
+            if value.lower() != b"chunked":  # the only coding that is decoded
                 raise BadRequest(501)
             self.chunked = True
-        elif lower == b"work-hint":
-            self.hint = int(value) / 1000 if _DIGITS.fullmatch(value) else 0.0  # a guess may be left out
-        elif lower == b"client-retry":
-            self.repeat = value == b"1"
-        elif lower == b"expect":
-            self.expects = value.lower() == b"100-continue"
-        if lower not in _OWN:
-            self.lines.append(b"%b: %b\r\n" % (name, value))
+        elif (
+            lower_name == b"work-hint"
+        ):  # in microseconds; an invalid one is ignored, as the header is optional
+            self.work_hint_ms = int(value) / 1000 if _DIGITS_PATTERN.fullmatch(value) else 0.0
+        elif lower_name == b"client-retry":
+            self.is_client_retry = value == b"1"
+        elif lower_name == b"expect":
+            self.awaits_continue = value.lower() == b"100-continue"
+        if lower_name not in _HEADERS_NOT_FORWARDED:
+            self.forwarded_lines.append(b"%b: %b\r\n" % (name, value))
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client. Requests on it are answered one after the other."""
+    """One connection of a client. Pipelined requests are served one after the other."""
 
     transport: asyncio.Transport
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
         self.parser = httptools.HttpRequestParser(self)
-        # What has come and has not had its turn, and whether to keep the connection alive after it.
-        self.waiting: deque[tuple[ClientRequest | BadRequest | HealthCheck, bool]] = deque()
-        self.request_id = 0  # of the request that is being served; 0: none
-        self.busy = self.advancing = False
-        self.keep = True  # the connection, after the answer under way
-        self.ended = False  # nothing further is read, or the last answer has been written
-        self.shut = False  # no answer can go out any more
-        self.crowded = self.held = False  # why it is read no further: requests wait, a server takes no more
-        self.reading = False  # a request has come in part
-        self.timer: asyncio.TimerHandle | None = None  # runs while a request is on its way in
-        self.begun = 0.0  # when it began, later by the time for which it was held
-        self.held_at = 0.0
+        # Requests that wait for their turn, each with whether to keep the connection open after its response.
+        self.queued_requests: deque[tuple[ClientRequest | BadRequest | HealthCheck, bool]] = deque()
+        self.request_id = 0  # the node's number of the request that is being served; 0: none
+        self.serving_request = self.serving_queue = False
+        self.keep_alive = True  # after the current response
+        self.input_finished = False  # no further request is read, or the last response has been written
+        self.output_finished = False  # no further response can be sent
+        # Why reading is paused: enough requests are queued, or no server reads the body as fast.
+        self.paused_for_queue = self.paused_for_upload = False
+        self.receiving_request = False  # a request has arrived in part
+        self.request_timer: asyncio.TimerHandle | None = None  # runs while a request arrives
+        self.request_started_at = 0.0  # loop time of its first byte, moved on by the time of upload pauses
+        self.upload_paused_at = 0.0  # loop time
         self.url = b""
         self.headers = Headers()
         self.body = bytearray()
-        self.came = 0  # bytes of the body
-        self.counted = False  # among the bodies in hand
-        self.upload: Upload | None = None  # what the body goes to where it is not held whole
-        self.uploader = False  # the request being served is the one that is being uploaded
-        self.chunks = False  # the answer under way goes out in chunks
-        self.answering = False  # a part of it has gone out
-        self.unread = 0  # bytes since the last whole head
+        self.body_bytes_received = 0
+        self.counted_in_budget = False  # the body that arrives is one of BodyBudget.body_count
+        self.upload: Upload | None = None  # forwards the body that arrives, unless it is buffered whole
+        self.serving_upload = False  # the request that is being served still uploads its body
+        self.response_chunked = False  # the current response is sent with chunked coding
+        self.response_streaming = False  # a part of the current response has been sent
+        self.bytes_since_request = 0  # received since the end of the last complete request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        # A cast, as uvloop's transports are no subclasses of asyncio's. uvloop sets TCP_NODELAY on them.
         self.transport = cast(asyncio.Transport, transport)
         self.descriptor: int = transport.get_extra_info("socket").fileno()
-        self.listener.opened(self)
+        self.listener.on_connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.closed(self)
-        self.leave()
+        self.listener.on_connection_closed(self)
+        self.abandon()
 
     def eof_received(self) -> None:
-        """The client has closed, so it has gone and waits for no answer. The transport closes too."""
-        self.leave()
+        """Treat a half-close as the client's departure: it waits for no response. The transport closes."""
+        self.abandon()
 
-    def gone(self) -> None:
-        """The same, seen while nothing is read."""
-        self.leave()
+    def abandon_paused(self) -> None:
+        """Abort a connection that the client has closed while reading was paused."""
+        self.abandon()
         self.transport.abort()
 
-    def leave(self) -> None:
-        """Nothing more comes or goes."""
-        if not self.shut:
-            event("client_left", connection=self.descriptor, request=self.request_id)
-        self.ended = self.shut = True
-        self.listener.left(self)
-        self.listener.paused.pop(self.descriptor, None)
-        self.waiting.clear()
-        self.withdraw()
-        self.stop_body()
-
-    def withdraw(self) -> None:
+    def abandon(self) -> None:
+        """Stop reading and writing, and withdraw the request that is being served."""
+        if not self.output_finished:
+            log_event("client_left", connection=self.descriptor, request=self.request_id)
+        self.input_finished = self.output_finished = True
+        self.listener.exclude_from_eviction(self)
+        self.listener.read_paused.pop(self.descriptor, None)
+        self.queued_requests.clear()
+        self.withdraw_request()
+        self.stop_receiving_request()
+
+    def withdraw_request(self) -> None:
+        """Tell the handler that nobody waits for the response to the current request."""
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
             self.listener.handler.client_gone(request_id)
 
     def close(self, cause: str) -> None:
-        """End it between requests, or in one that will never be whole."""
-        self.stop_body()
-        self.hang_up(cause)
+        """Close the connection between requests, or in the middle of one that will never be complete."""
+        self.stop_receiving_request()
+        self.half_close(cause)
 
-    def hang_up(self, cause: str) -> None:
-        """No answer goes out from here on. What still comes can get none, so none of it is taken."""
-        if self.shut:
+    def half_close(self, cause: str) -> None:
+        """Close the sending side. Input that still arrives can get no response, so it is discarded."""
+        if self.output_finished:
             return
-        event("client_closed", connection=self.descriptor, cause=cause)
-        self.ended = self.shut = True
-        self.waiting.clear()
-        self.crowded = self.held = False
-        self.read_or_not()
-        self.listener.shut(self)
+        log_event("client_closed", connection=self.descriptor, cause=cause)
+        self.input_finished = self.output_finished = True
+        self.queued_requests.clear()
+        self.paused_for_queue = self.paused_for_upload = False
+        self.update_reading()
+        self.listener.start_lingering(self)
         close_after_response(self.listener.loop, self.transport)
 
-    # Requests in.
+    # Reading requests.
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.listener.body_budget.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.shut or (self.ended and not self.reading):
+        if self.output_finished or (self.input_finished and not self.receiving_request):
             return
-        self.unread += nbytes
-        self.listener.heard(self)
+        self.bytes_since_request += nbytes
+        self.listener.on_bytes_received(self)
         try:
             self.parser.feed_data(self.listener.body_budget.read_buffer()[:nbytes])
         except httptools.HttpParserUpgrade:
-            # No upgrade is offered: the request is served as any other, and the last on its connection.
-            self.ended = True
-            if self.waiting:
-                self.waiting[-1] = (self.waiting[-1][0], False)
+            # Upgrades are not supported: the request is served as usual, as the last on its connection.
+            self.input_finished = True
+            if self.queued_requests:
+                self.queued_requests[-1] = (self.queued_requests[-1][0], False)
             else:
-                self.keep = False
+                self.keep_alive = False
         except httptools.HttpParserError as error:
             cause = error.__context__
             self.stop_reading(cause if isinstance(cause, BadRequest) else BadRequest(400))
         else:
-            if self.unread > MAX_HEAD and not self.headers.whole:
+            if self.bytes_since_request > MAX_HEAD_BYTES and not self.headers.complete:
                 self.stop_reading(BadRequest(431))
-        if not self.crowded and self.enough():
-            self.crowded = True
-            self.read_or_not()
-        self.next()
-
-    def enough(self) -> bool:
-        """Whether as much waits here as may."""
-        waiting = self.waiting
-        if len(waiting) < 2:
+        if not self.paused_for_queue and self.queue_is_full():
+            self.paused_for_queue = True
+            self.update_reading()
+        self.serve_next_requests()
+
+    def queue_is_full(self) -> bool:
+        """Whether the queue holds as many requests or body bytes as it may."""
+        queued = self.queued_requests
+        if len(queued) < 2:
             return False
-        bodies = sum(len(item.message.body) for item, _ in waiting if isinstance(item, ClientRequest))
-        return len(waiting) > MAX_WAITING or bodies > self.listener.body_budget.share
+        bodies = sum(len(item.message.body) for item, _ in queued if isinstance(item, ClientRequest))
+        return len(queued) > MAX_PIPELINED_REQUESTS or bodies > self.listener.body_budget.share_bytes
 
-    def read_or_not(self) -> None:
+    def update_reading(self) -> None:
+        """Pause or resume reading from the client."""
         if self.transport.is_closing():
             return
-        if self.crowded or self.held:
-            self.listener.paused[self.descriptor] = self
+        if self.paused_for_queue or self.paused_for_upload:
+            self.listener.read_paused[self.descriptor] = self
             self.transport.pause_reading()
         else:
-            self.listener.paused.pop(self.descriptor, None)
+            self.listener.read_paused.pop(self.descriptor, None)
             self.transport.resume_reading()
 
-    def pause_upload(self, hold: bool) -> None:
-        if hold == self.held:
+    def pause_upload(self, pause: bool) -> None:
+        """Stop reading the body while no server accepts more of it, or read on."""
+        if pause == self.paused_for_upload:
             return
-        self.held = hold
+        self.paused_for_upload = pause
         now = self.listener.loop.time()
-        if hold:
-            self.held_at = now
+        if pause:
+            self.upload_paused_at = now
         else:
-            self.begun += now - self.held_at  # the client could send nothing meanwhile
-        self.read_or_not()
+            self.request_started_at += now - self.upload_paused_at  # not the client's delay
+        self.update_reading()
 
     def stop_reading(self, error: BadRequest) -> None:
-        """Nothing further on this connection can be told apart: answer what came before, then this."""
+        """Read no more after an error in the input: serve the requests before it, then send the error."""
         self.listener.idle.pop(self, None)
         upload = self.upload
-        if self.uploader:
-            self.withdraw()  # first: a body that breaks off is no failure of a server
-        self.stop_body()
-        if self.ended:  # what is wrong came after the last answer
-            self.hang_up("malformed_after_last_answer")
+        if self.serving_upload:
+            self.withdraw_request()  # before the upload ends, or the server would be blamed for it
+        self.stop_receiving_request()
+        if self.input_finished:  # the error came after the last request
+            self.half_close("malformed_after_last_answer")
             return
-        self.ended = True
-        if upload is not None and upload.answered:
-            self.end()
-        elif self.uploader:  # the request under way is the one that is broken
-            self.keep = False
-            if self.answering:
+        self.input_finished = True
+        if upload is not None and upload.response_sent:
+            self.finish_connection()
+        elif self.serving_upload:  # the error is in the request that is being served
+            self.keep_alive = False
+            if self.response_streaming:
                 self.abort_response()
             else:
-                self.answer(error.status, extra=error.extra)
+                self.send_response(error.status, extra_headers=error.extra_headers)
         else:
             if upload is not None:
-                self.waiting.pop()  # it has not had its turn
-            self.waiting.append((error, False))
-
-    def stop_body(self) -> None:
-        """No more of a request's body comes, whole or not."""
-        self.reading = False
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.counted:
-            self.counted = False
-            self.listener.body_budget.bodies -= 1
+                self.queued_requests.pop()  # the error replaces it
+            self.queued_requests.append((error, False))
+
+    def stop_receiving_request(self) -> None:
+        """Stop the timer and the upload of the request that was arriving, complete or not."""
+        self.receiving_request = False
+        if self.request_timer is not None:
+            self.request_timer.cancel()
+        if self.counted_in_budget:
+            self.counted_in_budget = False
+            self.listener.body_budget.body_count -= 1
         if self.upload is not None:
             upload, self.upload = self.upload, None
-            upload.break_off()
+            upload.abort()
 
     def on_message_begin(self) -> None:
         self.listener.idle.pop(self, None)
         self.headers = Headers()
         self.body = bytearray()
-        self.came = 0
+        self.body_bytes_received = 0
         self.url = b""
-        self.reading = True
-        self.begun = self.listener.loop.time()
-        self.timer = self.listener.loop.call_later(REQUEST_TIME, self.too_slow)
+        self.receiving_request = True
+        self.request_started_at = self.listener.loop.time()
+        self.request_timer = self.listener.loop.call_later(REQUEST_TIMEOUT_S, self.on_request_timeout)
 
-    def too_slow(self) -> None:
-        """A client that never finishes its request must not hold a descriptor for ever."""
+    def on_request_timeout(self) -> None:
+        """Respond with 408 unless the body arrives fast enough: no request may hold a descriptor for ever."""
         loop = self.listener.loop
-        left = self.begun + REQUEST_TIME + self.came / MIN_UPLOAD_BYTES_PER_S - loop.time()
-        if self.held or left > 0:
-            self.timer = loop.call_later(max(left, LOOK), self.too_slow)
+        time_left_s = (
+            self.request_started_at
+            + REQUEST_TIMEOUT_S
+            + self.body_bytes_received / MIN_UPLOAD_BYTES_PER_S
+            - loop.time()
+        )
+        if self.paused_for_upload or time_left_s > 0:
+            self.request_timer = loop.call_later(max(time_left_s, SWEEP_INTERVAL_S), self.on_request_timeout)
             return
         self.stop_reading(BadRequest(408))
-        self.next()
+        self.serve_next_requests()
 
-    def give_up(self, late: float) -> None:
-        """No proper request has come in time, unless its body is on its way as fast as need be."""
-        if self.headers.whole and late < self.came / MIN_UPLOAD_BYTES_PER_S:
+    def on_first_request_timeout(self, overdue_s: float) -> None:
+        """Close a connection without a valid request, unless its first body arrives fast enough."""
+        if self.headers.complete and overdue_s < self.body_bytes_received / MIN_UPLOAD_BYTES_PER_S:
             return
-        if self.reading and not self.ended:
+        if self.receiving_request and not self.input_finished:
             self.stop_reading(BadRequest(408))
-            self.next()
+            self.serve_next_requests()
         else:
             self.close("no_request_in_time")
 
     def on_url(self, url: bytes) -> None:
         self.url += url
-        if len(self.url) > MAX_HEAD:
+        if len(self.url) > MAX_HEAD_BYTES:
             raise BadRequest(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         headers = self.headers
-        headers.size += len(name) + len(value) + 4
-        if headers.size > MAX_HEAD:
+        headers.size_bytes += len(name) + len(value) + 4
+        if headers.size_bytes > MAX_HEAD_BYTES:
             raise BadRequest(431)
-        if not headers.whole:  # else it is a trailer: of those none goes on, and none is believed
-            headers.add(name, value.strip(b" \t"))  # white space round a value is no part of it
+        if not headers.complete:  # trailers are neither used nor forwarded
+            headers.add(name, value.strip(b" \t"))  # surrounding white space is not part of a value
 
     def on_headers_complete(self) -> None:
         headers = self.headers
-        headers.whole = True
+        headers.complete = True
         version = self.parser.get_http_version()
         if version not in ("1.1", "1.0"):
             raise BadRequest(505)
         if headers.chunked and version == "1.0":
-            raise BadRequest(400)  # who sent it can't have meant it
-        if headers.length > MAX_REQUEST_BODY_BYTES:
-            raise BadRequest(413)  # before the body has come
-        if headers.length > BUFFERED_BODY_BYTES:
-            self.start_upload(headers.length)
-        elif headers.expects and not self.busy and not self.waiting:
-            self.go_ahead()
-
-    def go_ahead(self) -> None:
-        self.headers.expects = False
+            raise BadRequest(400)  # HTTP/1.0 has no chunked coding
+        if headers.content_length > MAX_REQUEST_BODY_BYTES:
+            raise BadRequest(413)  # before the body is read
+        if headers.content_length > BUFFERED_BODY_BYTES:
+            self.start_upload(headers.content_length)
+        elif headers.awaits_continue and not self.serving_request and not self.queued_requests:
+            self.send_continue()
+
+    def send_continue(self) -> None:
+        """Ask for the body of a request with `Expect: 100-continue`."""
+        self.headers.awaits_continue = False
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def start_upload(self, length: int | None) -> None:
-        """The body is more than is held whole: the request goes on its way while it still comes."""
-        request = self.whole_request()
+        """Serve a request while its body arrives, as the body is too large to be buffered whole."""
+        request = self.build_request()
         if isinstance(request, HealthCheck):
             raise BadRequest(400)
-        self.count_body()
+        self.count_in_budget()
         self.upload = Upload(self, self.listener.body_budget, length, bytes(self.body))
         self.body = bytearray()
         request.message.upload, request.message.body = self.upload, b""
-        request.expects = self.headers.expects
-        self.waiting.append((request, self.parser.should_keep_alive()))
+        request.awaits_continue = self.headers.awaits_continue
+        self.queued_requests.append((request, self.parser.should_keep_alive()))
 
-    def count_body(self) -> None:
-        if not self.counted:
-            self.counted = True
-            self.listener.body_budget.bodies += 1
+    def count_in_budget(self) -> None:
+        """Count the body that arrives among those that share the memory budget."""
+        if not self.counted_in_budget:
+            self.counted_in_budget = True
+            self.listener.body_budget.body_count += 1
 
     def on_body(self, body: bytes) -> None:
-        self.came += len(body)
-        if self.came > MAX_REQUEST_BODY_BYTES:
+        self.body_bytes_received += len(body)
+        if self.body_bytes_received > MAX_REQUEST_BODY_BYTES:
             raise BadRequest(413)
         if self.upload is not None:
             self.upload.feed(body)
             return
         self.body += body
         if len(self.body) > MIN_BODY_SHARE_BYTES:
-            self.count_body()
-        if len(self.body) > self.listener.body_budget.share:
-            # Where many bodies are in hand, less of each is held, also of those with a length.
-            self.start_upload(None if self.headers.chunked else self.headers.length)
+            self.count_in_budget()
+        if len(self.body) > self.listener.body_budget.share_bytes:
+            # With many bodies in memory each may buffer less, even one with a short Content-Length.
+            self.start_upload(None if self.headers.chunked else self.headers.content_length)
 
     def on_message_complete(self) -> None:
         upload, self.upload = self.upload, None
-        self.stop_body()
-        self.unread = 0
+        self.stop_receiving_request()
+        self.bytes_since_request = 0
         if upload is not None:
-            self.end_upload(upload)
+            self.finish_upload(upload)
             return
-        keep = self.parser.should_keep_alive()
+        keep_alive = self.parser.should_keep_alive()
         try:
-            self.waiting.append((self.whole_request(), keep))
+            self.queued_requests.append((self.build_request(), keep_alive))
         except BadRequest as error:
-            self.waiting.append((error, keep))
+            self.queued_requests.append((error, keep_alive))
 
-    def end_upload(self, upload: Upload) -> None:
-        upload.end()
+    def finish_upload(self, upload: Upload) -> None:
+        """Forward the end of a body, or finish with the connection if the response is already sent."""
+        upload.finish()
         self.pause_upload(False)
-        if upload.answered:
-            if self.ended:
-                self.hang_up("last_answer")
-            elif not self.busy and not self.waiting:
-                self.rest()
-        elif self.uploader:
-            self.uploader = False
+        if upload.response_sent:
+            if self.input_finished:
+                self.half_close("last_answer")
+            elif not self.serving_request and not self.queued_requests:
+                self.enter_idle()
+        elif self.serving_upload:
+            self.serving_upload = False
             if self.request_id:
                 self.listener.handler.upload_complete(self, self.request_id)
 
-    def whole_request(self) -> ClientRequest | HealthCheck:
+    def build_request(self) -> ClientRequest | HealthCheck:
+        """Return the request that has arrived; raise BadRequest if it is invalid."""
         headers, url = self.headers, self.url
-        if not url.startswith(b"/") and (form := _ABSOLUTE.match(url)):
-            url = b"/" + url[form.end() :].removeprefix(b"/")  # as a proxy is asked; the server gets the path
+        if not url.startswith(b"/") and (prefix := _ABSOLUTE_URL_PREFIX.match(url)):
+            url = b"/" + url[prefix.end() :].removeprefix(b"/")  # absolute form, as sent to proxies
         if url == HEALTH_PATH:
             if self.parser.get_method() != b"GET":
                 raise BadRequest(405, b"Allow: GET\r\n")
             return HealthCheck()
-        cls, tenant, key = self.listener.check(self.parser, url, headers)
+        cls, tenant, key = self.listener.validate_request(self.parser, url, headers)
         method = self.parser.get_method()
-        if headers.timeout is None or ((self.body or headers.length) and method == b"GET"):
+        if headers.timeout_ms is None or ((self.body or headers.content_length) and method == b"GET"):
             raise BadRequest(400)
-        head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.lines))
-        self.listener.proven(self)
+        head = b"%b %b HTTP/1.1\r\n%b" % (method, url, b"".join(headers.forwarded_lines))
+        self.listener.on_valid_request(self)
         return ClientRequest(
             message=ForwardedRequest(
                 head, bytes(self.body), method == b"POST", request_id=headers.request_id or b""
@@ -674,138 +748,152 @@
             cls=cls,
             tenant=tenant,
             key=key,
-            sent=now_ms(),
-            timeout=headers.timeout,
-            hint=headers.hint,
-            repeat=headers.repeat,
+            sent_at_ms=now_ms(),
+            timeout_ms=headers.timeout_ms,
+            work_hint_ms=headers.work_hint_ms,
+            is_client_retry=headers.is_client_retry,
         )
 
-    def next(self) -> None:
-        """Begin with the next request that has come in whole, or that is more than can be held."""
-        if self.advancing:  # an answer given at once comes back here: a loop, or many would nest too deep
+    def serve_next_requests(self) -> None:
+        """Serve the queued requests in order, as far as responses can be sent at once."""
+        if self.serving_queue:
+            # Called on a response that was sent in the loop below. The loop goes on: calls for each of many
+            # such responses would nest too deep.
             return
-        self.advancing = True
+        self.serving_queue = True
         handler = self.listener.handler
-        while self.waiting and not self.busy and not self.shut:
-            item, self.keep = self.waiting.popleft()
-            self.busy = True
+        while self.queued_requests and not self.serving_request and not self.output_finished:
+            item, self.keep_alive = self.queued_requests.popleft()
+            self.serving_request = True
             if isinstance(item, ClientRequest):
-                self.take(item)
+                self.serve_request(item)
             elif isinstance(item, BadRequest):
-                self.answer(item.status, extra=item.extra)
+                self.send_response(item.status, extra_headers=item.extra_headers)
             elif handler.ready:
-                self.answer(200, b"ok\n", b"text/plain")
+                self.send_response(200, b"ok\n", b"text/plain")
             else:
-                self.answer(503)
-        self.advancing = False
-        if self.headers.expects and self.reading and self.upload is None and not self.busy and not self.ended:
-            self.go_ahead()  # its turn has come
-
-    def take(self, request: ClientRequest) -> None:
+                self.send_response(503)
+        self.serving_queue = False
+        if (
+            self.headers.awaits_continue
+            and self.receiving_request
+            and self.upload is None
+            and not self.serving_request
+            and not self.input_finished
+        ):
+            self.send_continue()  # all earlier requests have their responses
+
+    def serve_request(self, request: ClientRequest) -> None:
+        """Pass a request to the handler, and ask for its body if the client waits for that."""
         upload = request.message.upload
-        self.uploader = upload is not None and not upload.whole
+        self.serving_upload = upload is not None and not upload.complete
         self.listener.handler.accept_request(self, request)
-        if self.uploader and request.expects and self.busy:
-            self.go_ahead()
+        if self.serving_upload and request.awaits_continue and self.serving_request:
+            self.send_continue()
 
-    # Answers out.
+    # Writing responses.
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"", extra: bytes = b"") -> None:
-        """Write the final answer to the request under way."""
+    def send_response(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", extra_headers: bytes = b""
+    ) -> None:
+        """Write a complete response to the current request."""
         self.request_id = 0
-        keep = self.keep_after()
-        lines = b"%b%d\r\n%b" % (STATUS_LINES[status], len(body), extra)
+        keep_alive = self.keep_alive_after_response()
+        lines = b"%b%d\r\n%b" % (STATUS_LINES[status], len(body), extra_headers)
         if content_type:
             lines += b"Content-Type: %b\r\n" % content_type
-        self.transport.write(b"%b%b\r\n%b" % (lines, b"" if keep else b"Connection: close\r\n", body))
-        self.answered(keep)
-
-    def keep_after(self) -> bool:
-        """Whether the connection outlives the answer under way."""
-        if self.uploader and self.headers.expects:
-            return False  # never told to go ahead: nobody can tell whether the body will come
-        # A node that drains still owes an answer to what it has read, also in part: the connection ends with
-        # the last.
-        further = bool(self.waiting) or (self.reading and not self.uploader)
-        return self.keep and (further or not self.listener.handler.draining)
+        self.transport.write(b"%b%b\r\n%b" % (lines, b"" if keep_alive else b"Connection: close\r\n", body))
+        self.on_response_sent(keep_alive)
+
+    def keep_alive_after_response(self) -> bool:
+        """Whether the connection stays open after the current response."""
+        if self.serving_upload and self.headers.awaits_continue:
+            return False  # without 100 (Continue) the client may send the body or the next request
+        # A draining node still responds to every request that it has read, even in part, and closes the
+        # connection after the last one.
+        further = bool(self.queued_requests) or (self.receiving_request and not self.serving_upload)
+        return self.keep_alive and (further or not self.listener.handler.draining)
 
     def begin_response(self, length: int | None, content_type: bytes) -> None:
-        """The answer goes out as it comes."""
+        """Write the head of a 200 response whose body follows while it arrives from the server."""
         if length is None and self.parser.get_http_version() == "1.0":
-            self.keep = False  # it ends with the connection
+            self.keep_alive = False  # the close marks the end of the body
         elif length is None:
-            self.chunks = True
-        self.answering = True
-        self.keep = self.keep_after()
+            self.response_chunked = True
+        self.response_streaming = True
+        self.keep_alive = self.keep_alive_after_response()
         lines = b"HTTP/1.1 200 OK\r\n"
         if length is not None:
             lines += b"Content-Length: %d\r\n" % length
-        elif self.chunks:
+        elif self.response_chunked:
             lines += b"Transfer-Encoding: chunked\r\n"
         if content_type:
             lines += b"Content-Type: %b\r\n" % content_type
-        self.transport.set_write_buffer_limits(0)  # nothing is held here: what the kernel does not take waits
-        self.transport.write(b"%b%b\r\n" % (lines, b"" if self.keep else b"Connection: close\r\n"))
+        self.transport.set_write_buffer_limits(0)  # pause as soon as the kernel's buffer is full
+        self.transport.write(b"%b%b\r\n" % (lines, b"" if self.keep_alive else b"Connection: close\r\n"))
 
     def write_response_chunk(self, data: bytes) -> None:
-        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunks else data)
+        """Write a part of the response's body."""
+        self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.response_chunked else data)
 
     def end_response(self) -> None:
+        """Write the end of a response whose body is complete."""
         self.request_id = 0
-        if self.chunks:
+        if self.response_chunked:
             self.transport.write(b"0\r\n\r\n")
-        self.chunks = self.answering = False
+        self.response_chunked = self.response_streaming = False
         self.transport.set_write_buffer_limits()
-        # A drain may have begun meanwhile; nobody was told, but between requests a close is harmless.
-        self.answered(self.keep)
+        # If a drain has begun since the head was sent, the connection closes without `Connection: close`.
+        # Between requests that is harmless.
+        self.on_response_sent(self.keep_alive)
 
     def abort_response(self) -> None:
-        """The rest of the answer never comes, and the client has to see that."""
+        """Reset the connection, so that the client sees that the response is incomplete."""
         self.request_id = 0
-        self.ended = True
-        event("client_reset", connection=self.descriptor, cause="answer_broke_off")
-        reset(self.transport)
+        self.input_finished = True
+        log_event("client_reset", connection=self.descriptor, cause="answer_broke_off")
+        reset_connection(self.transport)
 
     def pause_writing(self) -> None:
-        if self.answering:
+        if self.response_streaming:
             self.listener.handler.pause_response(self.request_id, True)
 
     def resume_writing(self) -> None:
-        if self.answering:
+        if self.response_streaming:
             self.listener.handler.pause_response(self.request_id, False)
 
-    def answered(self, keep: bool) -> None:
-        """The final answer has been written."""
-        self.busy = False
-        if self.uploader and self.upload is not None:
-            self.upload.drop()
-        self.uploader = False
-        if not keep:
-            self.end()
+    def on_response_sent(self, keep_alive: bool) -> None:
+        """Finish with the current request and continue with the next one."""
+        self.serving_request = False
+        if self.serving_upload and self.upload is not None:
+            self.upload.discard_rest()
+        self.serving_upload = False
+        if not keep_alive:
+            self.finish_connection()
             return
-        self.next()
-        if self.waiting or self.busy:
+        self.serve_next_requests()
+        if self.queued_requests or self.serving_request:
             return
-        if self.crowded:
-            self.crowded = False
-            self.read_or_not()
-        if not self.reading and not self.ended:
-            self.rest()
-
-    def rest(self) -> None:
-        """Nothing is under way: the connection is idle."""
-        self.listener.partial.pop(self, None)
+        if self.paused_for_queue:
+            self.paused_for_queue = False
+            self.update_reading()
+        if not self.receiving_request and not self.input_finished:
+            self.enter_idle()
+
+    def enter_idle(self) -> None:
+        """Mark the connection as idle, or close it if the node drains."""
+        self.listener.receiving_first_request.pop(self, None)
         if self.listener.handler.draining:
             self.close("draining")
         else:
             self.listener.idle[self] = self.listener.loop.time()
 
-    def end(self) -> None:
-        """After the last answer."""
-        self.ended = True
-        self.waiting.clear()
-        self.crowded = False
-        self.read_or_not()
-        if self.upload is None:  # else once what still comes of a body is read, so that the answer is seen
-            self.stop_body()
-            self.hang_up("last_answer")
+    def finish_connection(self) -> None:
+        """Close the connection after its last response."""
+        self.input_finished = True
+        self.queued_requests.clear()
+        self.paused_for_queue = False
+        self.update_reading()
+        if self.upload is None:  # else finish_upload closes it once the body is read
+            self.stop_receiving_request()
+            self.half_close("last_answer")
