--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -27,7 +27,7 @@
 )
 from flaxstep.proxy.config import Address, Config
 from flaxstep.proxy.discovery import Discovery
-from flaxstep.proxy.event_log import event as log_event
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.member_list import Endpoint, MemberList, MemberListReader
 from flaxstep.proxy.metrics import Metrics, ServerMetrics
 from flaxstep.proxy.request_bodies import MAX_REQUEST_BODY_BYTES, BodyBudget
@@ -132,7 +132,13 @@
         self.server_metrics = ServerMetrics(self.metrics.classes)
         self.body_budget = BodyBudget((config.memory_mb << 20) // BODY_MEMORY_DIVISOR)
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, self, self.metrics, self.body_budget
+            loop,
+            config.dial_timeout_ms,
+            config.idle_timeout_ms,
+            servers,
+            self,
+            self.metrics,
+            self.body_budget,
         )
         self.listener = Listener(loop, config, self, clients, self.body_budget)
         self.list_reader = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
@@ -154,13 +160,13 @@
             Log: self.log_text,
             Subscribe: self.ignore_subscribe,
         }
-        self.shared_state = SharedState(config.shared, config.name, self.on_operator_state_change)
+        self.shared_state = SharedState(config.shared_folder, config.name, self.on_operator_state_change)
         if config.admin is not None:
             self.shared_state.start()  # before the list: nothing may be sent to cordoned servers
         self.dispatch_event(DiscoveryReach(Reach.STARTED))
-        if config.known.get("instances"):
+        if config.known_list.get("instances"):
             try:
-                self.discovery.version = self.apply_list(config.known, ListKind.CACHED)
+                self.discovery.version = self.apply_list(config.known_list, ListKind.CACHED)
             except ValueError as error:
                 log.warning("the server list in the configuration is malformed: %s", error)
 
@@ -220,7 +226,7 @@
         if pending is not None:
             log_event("answered", request=pending.message.request_id, status=status)
             self.metrics.record_outcome(pending.cls, status)
-            pending.client.answer(status, extra=extra)
+            pending.client.send_response(status, extra_headers=extra)
 
     def remove_request(self, request_id: int) -> PendingRequest | None:
         """Remove a request that is over, with those of its attempts that still wait for a connection."""
@@ -250,16 +256,16 @@
         self.last_id += 1
         request_id = client.request_id = self.last_id
         upload = request.message.upload
-        uploading = upload is not None and not upload.whole
+        uploading = upload is not None and not upload.complete
         deadline = (
-            max(request.sent, now_ms() if upload is not None else 0.0)
-            + request.timeout
+            max(request.sent_at_ms, now_ms() if upload is not None else 0.0)
+            + request.timeout_ms
             - CLIENT_TIMEOUT_MARGIN_MS
         )
         if uploading:
             deadline += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
         self.pending_requests[request_id] = PendingRequest(
-            client, request.message, request.cls, deadline, request.timeout, uploading
+            client, request.message, request.cls, deadline, request.timeout_ms, uploading
         )
         cls, key, tenant = request.cls, request.key, request.tenant
         log_event(
@@ -270,7 +276,16 @@
             ms_left=deadline - now_ms(),
         )
         self.dispatch_event(
-            Request(request_id, cls, deadline, key, tenant, request.hint, request.repeat, uploading)
+            Request(
+                request_id,
+                cls,
+                deadline,
+                key,
+                tenant,
+                request.work_hint_ms,
+                request.is_client_retry,
+                uploading,
+            )
         )
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
@@ -319,7 +334,7 @@
             del self.pending_requests[request_id]
             log_event("answered", request=pending.message.request_id, status=200)
             self.metrics.record_outcome(pending.cls, 200)
-            pending.client.answer(200, response.body, response.content_type)
+            pending.client.send_response(200, response.body, response.content_type)
         request_over, elapsed = request_id not in self.pending_requests, now_ms() - attempt.started
         log_event(
             "attempt_ended",
@@ -333,7 +348,7 @@
         if pending is not None and result is not Result.CANCELLED:
             self.server_metrics.record_attempt(attempt.server.id, pending.cls, result, elapsed)
         upload = attempt.message.upload
-        spent = upload is not None and upload.spent
+        spent = upload is not None and upload.partly_sent
         self.dispatch_event(
             Outcome(request_id, attempt.server.id, request_over, result, attempt.number, elapsed, spent=spent)
         )
@@ -412,13 +427,13 @@
         if reach is Reach.CONFIRMED:
             self.list_confirmed.set()
         lease, now = self.policy.lease, now_ms()
-        was_valid, before = lease.valid(now), lease.expires - now
+        was_valid, before = lease.is_valid(now), lease.expires - now
         self.dispatch_event(DiscoveryReach(reach, since))
         left = lease.expires - now
         # No line for each confirmation: a watch sends one with every heartbeat.
         if reach is not Reach.CONFIRMED or not was_valid:
             log.info("list lease: %s; %.3f s left, %.3f before", reach.value, left / 1000, before / 1000)
-        if was_valid != lease.valid(now_ms()):
+        if was_valid != lease.is_valid(now_ms()):
             log.info(
                 "server list %s (%s)",
                 "expired: requests are refused until discovery confirms it" if was_valid else "valid again",
@@ -455,7 +470,9 @@
         if self.config.settings.ask_for_list or self.list_confirmed.is_set():
             return True
         age = self.loop.time() - self.started_at
-        return age >= MAX_STARTUP_WAIT_S or (age >= CACHED_LIST_WAIT_S and self.policy.lease.valid(now_ms()))
+        return age >= MAX_STARTUP_WAIT_S or (
+            age >= CACHED_LIST_WAIT_S and self.policy.lease.is_valid(now_ms())
+        )
 
     def report_health(self, _: bytes) -> Reply:
         if self.ready:
@@ -465,10 +482,10 @@
         return 503, "quiesced" if self.quiesced else "starting"
 
     def report_stats(self, _: bytes) -> Reply:
-        avoided = self.listed_servers & self.policy.avoided(now_ms())
+        avoided = self.listed_servers & self.policy.find_avoided_servers(now_ms())
         gauges = {
             "outstanding": sum(not pending.uploading for pending in self.pending_requests.values())
-            + self.listener.waiting(),
+            + self.listener.count_queued_requests(),
             "discovered": len(self.listed_servers),
             "ejected": len(avoided),
         }
@@ -564,7 +581,7 @@
     def update_limits(self) -> None:
         """Set the memory and connection limits: with two processes, each uses half of the node's."""
         process_count = 2 if self.shared_state.others_running else 1
-        self.body_budget.budget = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // process_count
+        self.body_budget.total_bytes = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // process_count
         clients, servers = connection_limits(self.config.sockets // process_count)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
@@ -644,17 +661,17 @@
         if self.client_listener is not None:
             self.listener.close_idle()
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-            self.listener.stop()
+            self.listener.stop_accepting()
         # A request that is incomplete by then might not reach its deadline before SIGKILL.
         await self.wait_until_empty(started + READ_AFTER_SIGTERM_S)
-        self.listener.turn_away()
+        self.listener.reject_unfinished_requests()
         await self.wait_until_empty(started + MAX_DRAIN_S)
         self.close()  # the list is watched until here, as pending requests may be retried
         log.info("stopped")
 
     async def wait_until_empty(self, until: float) -> None:
         """Wait until all client connections are closed, at most until this time of the loop's clock."""
-        while self.listener.occupied and self.loop.time() < until:
+        while self.listener.has_clients and self.loop.time() < until:
             self.listener.close_idle()
             await asyncio.sleep(DRAIN_POLL_S)
 
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -11,8 +11,8 @@
 import httptools
 
 from flaxstep.proxy.config import Address
-from flaxstep.proxy.connection_close import abort_now, unread_poll
-from flaxstep.proxy.event_log import event
+from flaxstep.proxy.connection_close import abort_immediately, poll_unread_input
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.metrics import Metrics
 from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES, MIN_BODY_SHARE_BYTES, BodyBudget, Upload
 from flaxstep.proxy.wall_clock import now_ms
@@ -171,7 +171,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # No isinstance check: uvloop's transports don't derive from asyncio's. They have TCP_NODELAY set.
         self.transport = cast(asyncio.Transport, transport)
-        self.socket_poll = unread_poll(transport.get_extra_info("socket").fileno())
+        self.socket_poll = poll_unread_input(transport.get_extra_info("socket").fileno())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections.discard(self)
@@ -192,12 +192,12 @@
         """End the attempt with this result and abort the connection, without waiting for the response."""
         attempt = self.detach_attempt()
         # Before the result is reported: the policy may retry at once, and this attempt must be over by then.
-        abort_now(self.transport)
+        abort_immediately(self.transport)
         if attempt is not None:
             self.pool.finish_attempt(attempt, result)
 
     def close(self, cause: str) -> None:
-        event("upstream_closed", endpoint=self.server.id, cause=cause)
+        log_event("upstream_closed", endpoint=self.server.id, cause=cause)
         if cause in ABORT_CAUSES:
             self.transport.abort()
         else:
@@ -213,9 +213,9 @@
         self.buffered_body.clear()
         if self.counted_in_budget:
             self.counted_in_budget = False
-            self.pool.body_budget.bodies -= 1
+            self.pool.body_budget.body_count -= 1
         if attempt is not None and attempt.message.upload is not None:
-            attempt.message.upload.leave()
+            attempt.message.upload.detach()
         return attempt
 
     # Sending the request.
@@ -224,7 +224,7 @@
         """Write the request; a streamed body follows as the client sends it."""
         self.attempt = attempt
         attempt.connection = self
-        event(
+        log_event(
             "attempt_sent",
             request=attempt.message.request_id,
             attempt=attempt.number,
@@ -248,7 +248,7 @@
         else:
             self.transport.write(head)
             self.transport.set_write_buffer_limits(0)  # buffer no body here: pause the client instead
-            upload.join(self)
+            upload.attach(self)
 
     def on_request_written(self) -> None:
         assert self.attempt is not None
@@ -371,7 +371,7 @@
         """Count the response body once among those that share the memory budget."""
         if not self.counted_in_budget:
             self.counted_in_budget = True
-            self.pool.body_budget.bodies += 1
+            self.pool.body_budget.body_count += 1
 
     # Callbacks of the HTTP parser.
 
@@ -427,7 +427,7 @@
             self.buffered_body.append(body)
             if self.body_size > MIN_BODY_SHARE_BYTES:
                 self.count_in_budget()
-            if self.body_size > self.pool.body_budget.share:
+            if self.body_size > self.pool.body_budget.share_bytes:
                 self.begin_streaming()
 
     def on_message_complete(self) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,9 +14,9 @@
 
 from flaxstep.proxy.node import connection_limits
 from tests.net import WAIT, Agent, Client, Peer, request, running
-from tests.test_admin import DOOR, HEALTH, until
+from tests.test_admin import ADMIN_ADDRESS, HEALTH, wait_until
 from tests.test_node import run
-from tests.test_process import log_line, raw_config, started
+from tests.test_process import log_line, raw_config, running_process
 
 
 def free_port() -> int:
@@ -62,15 +62,15 @@
                 client.writer.close()
 
         async with AsyncExitStack() as stack:
-            old, _ = await stack.enter_async_context(started(path, environ))
+            old, _ = await stack.enter_async_context(running_process(path, environ))
             asking = asyncio.create_task(ask())  # one at a time: four would overload the only server
-            new, _ = await stack.enter_async_context(started(path, environ))
+            new, _ = await stack.enter_async_context(running_process(path, environ))
             await wait_for_line(old, "another process of this node is running")
             old.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(old.wait(), WAIT) == 0
             await wait_for_line(new, "this is the node's only process again")
             before = served[0]
-            await until(lambda: served[0] > before + 20)
+            await wait_until(lambda: served[0] > before + 20)
             stopped.set()
             await asking  # none was refused or unanswered, and few met a closing connection
             assert new.returncode is None
@@ -82,14 +82,14 @@
     async def test() -> None:
         path, port, environ = await prepare(tmp_path)
         async with AsyncExitStack() as stack:
-            old, _ = await stack.enter_async_context(started(path, environ))
+            old, _ = await stack.enter_async_context(running_process(path, environ))
             with socket.socket() as silent_socket:  # accepts connections and never responds
                 silent_socket.bind(("127.0.0.1", 0))
                 silent_socket.listen()
                 silent_discovery = environ | {
                     "ROUTER_DISCOVERY": f"127.0.0.1:{silent_socket.getsockname()[1]}"
                 }
-                new, _ = await stack.enter_async_context(started(path, silent_discovery, wait=False))
+                new, _ = await stack.enter_async_context(running_process(path, silent_discovery, wait=False))
                 await wait_for_line(old, "another process of this node is running")
                 for _ in range(40):  # a second listener would get half of them
                     client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -106,11 +106,11 @@
 
 def test_connections_that_the_kernel_has_queued_are_served_when_the_listener_closes() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             assert stand.node.client_listener is not None
             address = stand.node.client_listener.sockets[0].getsockname()
             queued = [socket.create_connection(address) for _ in range(5)]  # not accepted yet
-            stand.node.listener.stop()
+            stand.node.listener.stop_accepting()
             for connection in queued:
                 connection.setblocking(False)
                 client = Client(*await asyncio.open_connection(sock=connection))
@@ -124,21 +124,23 @@
 def test_two_processes_halve_the_limits_of_each(tmp_path: Path) -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as old:
+        async with running(peer, admin=ADMIN_ADDRESS, shared_folder=tmp_path, sockets=256) as old:
             clients = [await old.client() for _ in range(100)]
             for client in clients:
                 assert (await client.ask(request()))[0] == 200
-            whole = (old.node.listener.limit, old.node.pool.max_connections)
+            whole = (old.node.listener.max_connections, old.node.pool.max_connections)
             assert whole == connection_limits(256) and sum(whole) < 256
-            async with running(peer, admin=DOOR, shared=tmp_path, sockets=256) as new:
-                await until(lambda: old.node.listener.limit < whole[0])
+            async with running(peer, admin=ADMIN_ADDRESS, shared_folder=tmp_path, sockets=256) as new:
+                await wait_until(lambda: old.node.listener.max_connections < whole[0])
                 half = connection_limits(128)
                 for stand in (old, new):
-                    assert (stand.node.listener.limit, stand.node.pool.max_connections) == half
+                    assert (stand.node.listener.max_connections, stand.node.pool.max_connections) == half
                 assert 2 * sum(half) <= sum(whole)
                 assert len(old.node.listener.connections) <= half[0]
                 assert (await clients[-1].ask(request()))[0] == 200  # those idle for longest were closed
-            await until(lambda: (old.node.listener.limit, old.node.pool.max_connections) == whole)
+            await wait_until(
+                lambda: (old.node.listener.max_connections, old.node.pool.max_connections) == whole
+            )
 
     run(test())
 
