--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -372,9 +372,9 @@
 
     # Discovery.
 
-    def on_list(self, raw: Any, whole: bool) -> int | None:
+    def on_list(self, raw: Any, full_list: bool) -> int | None:
         """Apply a list from discovery and return its version. ValueError, and no change, if it is no list."""
-        return self.apply_list(raw, ListKind.FULL if whole else None)
+        return self.apply_list(raw, ListKind.FULL if full_list else None)
 
     def apply_list(self, raw: Any, kind: ListKind | None) -> int | None:
         """Apply a list to the pool, the policy and the metrics; see on_list."""
--- a/flaxstep/proxy/server_connections.py
+++ b/flaxstep/proxy/server_connections.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to have a server answer a request. Times are in ms of the monotonic clock."""
+    """One attempt to get a response to a request from one server. Times are in ms of the monotonic clock."""
 
     request_id: int
     number: int
