--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -21,11 +21,11 @@
 
 from flaxstep.rollout.plan import Commands, Plan, Room, Watch, Waves
 from flaxstep.rollout.release import ENDED, State
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 from flaxstep.simulator.fault_config import Figures
-from flaxstep.simulator.runner import HERE, player
+from flaxstep.simulator.runner import CURRENT_CHECKOUT, find_policy
 from flaxstep.simulator.scenario import Scenario, read_scenario
-from flaxstep.simulator.scheduled_events import begin
+from flaxstep.simulator.scheduled_events import start_happening
 from flaxstep.simulator.simulation import Simulation
 from flaxstep.simulator.staged_rollout import SimulatedRollout
 
@@ -52,7 +52,7 @@
     )
 
 
-def drawn(seed: int, servers: int = 0) -> Scenario:
+def draw_scenario(seed: int, servers: int = 0) -> Scenario:
     """The scenario with a farm of this seed's, and one trouble or none."""
     scenario, chance = read_scenario(SCENARIO), np.random.default_rng([seed, 7])
     fleet = msgspec.structs.replace(
@@ -72,7 +72,7 @@
     ended: float
     released: int
     halted_with: int  # members that had the version when it was found bad
-    most_out: int
+    max_out: int
     fallen: int
     broken: int
     asked: int
@@ -81,23 +81,25 @@
 
 def play(seed: int, version: str, until: float = float("inf"), servers: int = 0) -> Outcome:
     """A release on a seed's farm; `until`: what is asked for later does not count."""
-    module = player(HERE)
-    world = Simulation(drawn(seed, servers), seed, module.make, module.knows)
-    chance = Streams(seed).chance("release")
-    release = SimulatedRollout(world, plan_for(max(1, servers // 10)), VERSIONS[version], chance)
+    policy_source = find_policy(CURRENT_CHECKOUT)
+    simulation = Simulation(
+        draw_scenario(seed, servers), seed, policy_source.make_policy, policy_source.knows_event
+    )
+    chance = RandomStreams(seed).uniform("release")
+    release = SimulatedRollout(simulation, plan_for(max(1, servers // 10)), VERSIONS[version], chance)
     if until == float("inf"):
-        release.at_over = world.clients.stop
+        release.on_release_over = simulation.clients.stop_first_tries
     else:
-        world.engine.at(1000 * until, world.clients.stop)
-    world.play(partial(begin, world))
-    run = world.result(module.name)
+        simulation.engine.call_at(1000 * until, simulation.clients.stop_first_tries)
+    simulation.run(partial(start_happening, simulation))
+    run = simulation.build_result(policy_source.name)
     return Outcome(
         release.release.state,
         release.release.why,
         release.ended_at,
-        sum(version == "v2" for version in release.runs.values()),
+        sum(version == "v2" for version in release.running_versions.values()),
         release.halted_with,
-        release.most_out,
+        release.max_out,
         len(run.fallen),
         len(run.breaches),
         run.first_tries,
@@ -105,13 +107,13 @@
     )
 
 
-def one(seed: int, version: str) -> tuple[Outcome, float]:
+def play_with_harm(seed: int, version: str) -> tuple[Outcome, float]:
     """A release, and the part of the whole release's requests that its version spoilt."""
     outcome = play(seed, version)
     if version == "good":
         return outcome, 0.0
-    beside = play(seed, "good", outcome.ended)
-    return outcome, max(0, beside.in_time - outcome.in_time) / max(1, beside.asked)
+    good_run = play(seed, "good", outcome.ended)
+    return outcome, max(0, good_run.in_time - outcome.in_time) / max(1, good_run.asked)
 
 
 def summary(version: str, found: list[tuple[Outcome, float]], seconds: float) -> str:
@@ -142,7 +144,7 @@
     with Pool(workers) as pool:
         for version in sys.argv[3:] or VERSIONS:
             begun = time.monotonic()
-            found = pool.map(partial(one, version=version), range(count), chunksize=1)
+            found = pool.map(partial(play_with_harm, version=version), range(count), chunksize=1)
             print(summary(version, found, time.monotonic() - begun), flush=True)
 
 
--- a/flaxstep/cli.py
+++ b/flaxstep/cli.py
@@ -15,11 +15,11 @@
 from flaxstep.cli_faultbench import demo_command, load_command, rig
 from flaxstep.cli_release import release
 from flaxstep.command_error import CommandError
-from flaxstep.simulator.runner import NotPlayable, encode, play_with
+from flaxstep.simulator.runner import NotPlayable, encode_result, play_with_policy
 from flaxstep.simulator.scenario import ScenarioError, read_scenario
 from flaxstep.simulator.simulation import Run
 
-CASES = ("in_time", "late", "unserved", "refused", "failed", "given_up")
+OUTCOME_COLUMNS = ("in_time", "late", "unserved", "refused", "failed", "given_up")
 
 
 @click.group()
@@ -51,18 +51,18 @@
 def play_command(scenario: Path, seed: int, policy: str, out: Path | None) -> None:
     """Play one day of SCENARIO and say what was served. Exit code 1 if a rule was broken."""
     try:
-        run = play_with(policy, read_scenario(scenario), scenario, seed)
+        run = play_with_policy(policy, read_scenario(scenario), scenario, seed)
         if out is not None:
-            out.write_bytes(encode(run))
+            out.write_bytes(encode_result(run))
     except (ScenarioError, NotPlayable) as error:
         raise CommandError(str(error)) from None
     except OSError as error:
         raise CommandError(f"{error.filename}: {error.strerror}") from None
-    show(run)
+    print_run(run)
     sys.exit(1 if run.verdict.breaches else 0)
 
 
-def show(run: Run) -> None:
+def print_run(run: Run) -> None:
     """A run as a few lines and a table by class."""
     verdict, console = run.verdict, Console(highlight=False, width=110)
     console.print(
@@ -75,9 +75,11 @@
     )
     prices = ", ".join(f"{name} {value:.4f}" for name, value in verdict.prices.items() if value >= 0.00005)
     console.print(f"prices: {prices or 'none'}; servers slowed {run.choked}, fallen {len(run.fallen)}")
-    table = Table("class", "served", *(case.replace("_", " ") for case in CASES))
+    table = Table("class", "served", *(column.replace("_", " ") for column in OUTCOME_COLUMNS))
     for i, (name, served) in enumerate(verdict.classes.items()):
-        table.add_row(name, f"{served:.4f}", *(str(getattr(run.outcomes, case)[i]) for case in CASES))
+        table.add_row(
+            name, f"{served:.4f}", *(str(getattr(run.outcomes, column)[i]) for column in OUTCOME_COLUMNS)
+        )
     console.print(table)
     for breach in run.breaches[:10]:
         place = f"node {breach.node}, request {breach.request}, server {breach.server}"
--- a/flaxstep/faultbench/clients.py
+++ b/flaxstep/faultbench/clients.py
@@ -16,7 +16,7 @@
 
 from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
 from flaxstep.faultbench.records import Answered, Asked, Recorder
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 from flaxstep.simulator.sampling import Plan, draw_plan
 from flaxstep.simulator.scenario import Scenario, read_scenario
 
@@ -63,7 +63,7 @@
         figures = self.plan.figures
         self.share, self.backoff = figures["clients.try_share"], figures["clients.backoff_ms"]
         self.retries, self.honour = int(figures["clients.retries"]), figures["clients.honour"]
-        self.chance = Streams(config["seed"]).chance("callers")
+        self.chance = RandomStreams(config["seed"]).uniform("callers")
         self.idle: list[list[Connection]] = [[] for _ in self.fronts]
         self.next = 0
         self.open = 0  # tries that wait for their answer
--- a/flaxstep/faultbench/discovery_service.py
+++ b/flaxstep/faultbench/discovery_service.py
@@ -19,7 +19,7 @@
 from flaxstep.faultbench.fake_service import FakeService, Tasks, loopback, run
 from flaxstep.faultbench.forwarder import reset
 from flaxstep.faultbench.records import Happened, Recorder, Told
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 
 PATH = "/catalog/members"
 BEAT = 2.0  # s between the empty lines of a watch
@@ -39,7 +39,7 @@
         self.entries: dict[int, dict[str, Any]] = {int(n): e for n, e in config["entries"].items()}
         self.changes: deque[tuple[int, int, dict[str, Any]]] = deque(maxlen=HISTORY)  # version, server, entry
         self.watches: set[Call] = set()
-        self.chance: Callable[[], float] = Streams(config["seed"]).chance("listing")
+        self.chance: Callable[[], float] = RandomStreams(config["seed"]).uniform("listing")
         self.hands = asyncio.Semaphore(max(1, int(config["capacity"])))
         self.waiting = 0
         self.is_down = False
--- a/flaxstep/faultbench/fake_service.py
+++ b/flaxstep/faultbench/fake_service.py
@@ -46,10 +46,10 @@
     def now(self) -> float:
         return self._recorder.now()
 
-    def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
-        self.after(when - self.now, call, *arguments)
+    def call_at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
+        self.call_after(when - self.now, call, *arguments)
 
-    def after(self, delay: float, call: Callable[..., None], *arguments: Any) -> None:
+    def call_after(self, delay: float, call: Callable[..., None], *arguments: Any) -> None:
         if delay < float("inf"):
             self._loop.call_later(max(delay, 0.0) / 1000, call, *arguments)
 
--- a/flaxstep/faultbench/job_server.py
+++ b/flaxstep/faultbench/job_server.py
@@ -19,8 +19,15 @@
 from flaxstep.faultbench.forwarder import reset
 from flaxstep.faultbench.records import Began, Ended, Fell, Held, Recorder
 from flaxstep.routing.interface import Result
-from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import TICK, Attempt, ChokePlan, Server, ServerPlan, WorkTotals
+from flaxstep.simulator.engine import Engine, RandomStreams
+from flaxstep.simulator.job_servers import (
+    UPDATE_INTERVAL_MS,
+    Attempt,
+    Server,
+    ServerPlan,
+    ThrottlingPlan,
+    WorkTotals,
+)
 from flaxstep.simulator.sampling import lognormal
 
 SAMPLE = 0.25  # s
@@ -34,7 +41,7 @@
     def __init__(self, zone: int) -> None:
         self.zone = zone
 
-    def ended(self, attempt: Attempt, result: Result) -> None:
+    def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None:
         """Outcomes go back over the connection."""
 
 
@@ -46,14 +53,14 @@
         self.address: Address = (loopback(config["host"]), config["port"])
         self.rack: list[Address] = [tuple(address) for address in config["rack"]]
         self.engine, self.tally = RealEngine(loop, recorder), WorkTotals()
-        streams = Streams(config["seed"])
+        streams = RandomStreams(config["seed"])
         self.server = Server(
             cast(Engine, self.engine),
             ServerPlan(**config["server"]),
-            ChokePlan(**config["choke"]),
+            ThrottlingPlan(**config["choke"]),
             tuple(config["tip"]),
             self.tally,
-            streams.chance(f"faults {self.number}"),
+            streams.uniform(f"faults {self.number}"),
             self.answered,
         )
         self.owner = Owner(config["server"]["zone"])
@@ -70,7 +77,7 @@
         self.figures: dict[str, Any] | None = config["figures"]  # how its version differs
         self.since = 0.0
         if config["cold"]:
-            self.server.boot()
+            self.server.start_process()
 
     async def start(self) -> None:
         self.since = self.loop.time()
@@ -80,7 +87,7 @@
         mates.setblocking(False)
         mates.bind(self.address)
         self.mates, _ = await self.loop.create_datagram_endpoint(lambda: Rack(self), sock=mates)
-        self.loop.call_later(TICK / 1000, self.look)
+        self.loop.call_later(UPDATE_INTERVAL_MS / 1000, self.look)
         self.loop.call_later(SAMPLE, self.sample)
 
     # Requests.
@@ -103,13 +110,13 @@
         connection.attempt, connection.id = attempt, request_id
         self.out[self.serial] = connection
         if repeat:
-            self.engine.after(1.0, self.answered, attempt, Result.OK)
+            self.engine.call_after(1.0, self.answered, attempt, Result.OK)
             return
         if key:
             self.remember(key)
             for mate in self.rack:
                 self.mates.sendto(key.encode(), mate)
-        self.server.arrive(attempt)
+        self.server.on_arrival(attempt)
         if not self.server.up and not self.fallen:
             self.fall()
 
@@ -119,11 +126,11 @@
             del self.keys[next(iter(self.keys))]
 
     def answered(self, attempt: Attempt, result: Result) -> None:
-        connection = self.out.pop(attempt.request, None)
+        connection = self.out.pop(attempt.request_id, None)
         if connection is None:
             return
         if result is Result.OK:
-            self.tally.useful += attempt.work
+            self.tally.useful_ms += attempt.work_ms
         self.ended(connection, result.name.lower())
         connection.answer(result)
 
@@ -137,9 +144,9 @@
         """The caller has gone: work that waits goes, running work where the day says so."""
         attempt = connection.attempt
         if attempt is not None:
-            self.out.pop(attempt.request, None)
+            self.out.pop(attempt.request_id, None)
             self.ended(connection, "left")
-            self.server.drop(attempt, self.config["cancel_running"])
+            self.server.abandon_attempt(attempt, self.config["cancel_running"])
 
     def fall(self) -> None:
         """Pushed over: it takes nothing any more until it is started again."""
@@ -156,25 +163,27 @@
         """What the version does otherwise than others, once its time has come."""
         if self.loop.time() - self.since < figures["after_s"]:
             return
-        slow = figures["slow"] if self.server.held > figures["slow_over"] else 1.0
+        slow = figures["slow"] if self.server.requests_held > figures["slow_over"] else 1.0
         if (slow, figures["errors"]) != (self.server.slow, self.server.errors):
-            self.server.advance()
+            self.server.advance_work()
             self.server.slow, self.server.errors = slow, figures["errors"]
-            self.server.changed()
+            self.server.reschedule_completion()
 
     def look(self) -> None:
         if self.figures is not None:
             self.differ(self.figures)
-        self.server.connections = len(self.connections)
-        self.server.look()
-        self.loop.call_later(TICK / 1000, self.look)
+        self.server.connection_count = len(self.connections)
+        self.server.update_state()
+        self.loop.call_later(UPDATE_INTERVAL_MS / 1000, self.look)
 
     def sample(self) -> None:
         server = self.server
-        server.advance()
-        now, cold = self.recorder.now(), server.warmth() < 1.0
-        done, useful = round(self.tally.done, 3), round(self.tally.useful, 3)
-        self.recorder.write(Held(now, self.number, server.held, cold, server.choked, done, useful))
+        server.advance_work()
+        now, cold = self.recorder.now(), server.warm_share() < 1.0
+        done, useful = round(self.tally.done_ms, 3), round(self.tally.useful_ms, 3)
+        self.recorder.write(
+            Held(now, self.number, server.requests_held, cold, server.is_throttled, done, useful)
+        )
         self.loop.call_later(SAMPLE, self.sample)
 
     def do_set(self, **figures: float) -> None:
@@ -182,9 +191,9 @@
         for name, value in figures.items():
             if name not in ("slow", "errors", "lost", "resets", "taken", "paused"):
                 raise ValueError(f"no figure {name!r}")
-            self.server.advance()
+            self.server.advance_work()
             setattr(self.server, name, value)
-            self.server.changed()
+            self.server.reschedule_completion()
 
 
 class Connection(asyncio.Protocol):
--- a/flaxstep/faultbench/links.py
+++ b/flaxstep/faultbench/links.py
@@ -16,7 +16,7 @@
 from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
 from flaxstep.faultbench.forwarder import CLEAR, Effect, Pair, Side, listener, waiting
 from flaxstep.faultbench.records import Closed, Disturbed, Recorder, Turn
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 
 BACKLOG = 1024
 FILLERS = 2  # connections that fill the queue of a listener that takes none
@@ -204,7 +204,7 @@
 class Links(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.recorder, self.loop = recorder, loop
-        self.chance: Callable[[], float] = Streams(config["seed"]).chance("links")
+        self.chance: Callable[[], float] = RandomStreams(config["seed"]).uniform("links")
         self.links = [Link(self, spec) for spec in config["links"]]
         self.faults: dict[int, Fault] = {}
         self.gone: set[str] = set(config["down"])
--- a/flaxstep/faultbench/result.py
+++ b/flaxstep/faultbench/result.py
@@ -115,11 +115,11 @@
             self.inside.append(inside)
             self.worth.append(worth)
             second = min(int(at / 1000), self.seconds - 1)
-            self.judge.ask(second, cls, tenant, worth, inside)
+            self.judge.record_request(second, cls, tenant, worth, inside)
             self.by_second[second].asked += worth
             for line in self.lines(first):
                 line.asked += worth
-            self.judge.bill.asked_work += tries.work[first]
+            self.judge.counters.requested_work_ms += tries.work[first]
 
     def count(self) -> None:
         tries = self.plan.tries
@@ -138,10 +138,10 @@
                     line.unserved += 1
 
     def count_attempts(self, one: TryTrace) -> None:
-        bill, zones = self.judge.bill, self.plan.node_zones
+        bill, zones = self.judge.counters, self.plan.node_zones
         for attempt in one.attempts:
             bill.attempts += 1
-            bill.across += zones[attempt.node] != self.plan.servers[attempt.began.server].zone
+            bill.cross_zone_attempts += zones[attempt.node] != self.plan.servers[attempt.began.server].zone
 
     def count_answer(self, one: TryTrace) -> bool:
         """Book what a try came to; whether its client was served."""
@@ -152,7 +152,9 @@
         second = self.by_second[max(0, min(int(answered.at / 1000), self.seconds - 1))]
         if answered.status == -1 or answered.at > asked.due:
             self.outcomes.given_up[asked.cls] += 1
-            self.judge.bill.late_lost += self.worth[first] * (answered.at > asked.began + wanted.aim_ms)
+            self.judge.counters.late_unserved_worth += self.worth[first] * (
+                answered.at > asked.began + wanted.aim_ms
+            )
             return False
         if answered.status == 200 and answered.whole:
             return self.serve(one, answered.at - asked.began)
@@ -171,7 +173,7 @@
         part = 1.0 if in_time else wanted.late_worth if took <= wanted.deadline_ms else 0.0
         (self.outcomes.in_time if in_time else self.outcomes.late)[asked.cls] += 1
         worth, second = part * self.worth[first], min(int(asked.began / 1000), self.seconds - 1)
-        self.judge.earn(second, asked.cls, self.plan.tries.tenant[first], worth, self.inside[first])
+        self.judge.record_served(second, asked.cls, self.plan.tries.tenant[first], worth, self.inside[first])
         self.by_second[second].earned += worth
         self.took[asked.cls].append(took)
         for line in self.lines(first):
@@ -216,8 +218,8 @@
     story = tell(read_records(folder), plan, scenario.rig.regions)
     ledger = Ledger(scenario, plan, story)
     broken = breaches(story, scenario)
-    ledger.judge.broken = len(broken)
-    verdict = ledger.judge.verdict(ledger.useful, ledger.done, len(ledger.slowed) / len(plan.servers))
+    ledger.judge.breach_count = len(broken)
+    verdict = ledger.judge.compute_verdict(ledger.useful, ledger.done, len(ledger.slowed) / len(plan.servers))
     length = plan.length / 1000
     bands = [
         (band.name, round(band.start / 1000, 3), round(min(band.end / 1000 or length, length), 3))
@@ -241,7 +243,7 @@
             for c, took in zip(scenario.classes, ledger.took, strict=True)
         },
         lateness_ms=percentiles(ledger.written_late, 50, 99, 100),
-        crossings=ledger.judge.bill.across,
+        crossings=ledger.judge.counters.cross_zone_attempts,
         bands=bands,
         breaches=broken[:KEPT],
         broken=len(broken),
--- a/flaxstep/faultbench/schedule.py
+++ b/flaxstep/faultbench/schedule.py
@@ -12,11 +12,11 @@
 import msgspec
 import numpy as np
 
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 from flaxstep.simulator.fault_config import LINK_FAULTS, Fault
-from flaxstep.simulator.sampling import Happening, Plan, draw
+from flaxstep.simulator.sampling import Happening, Plan, draw_value
 from flaxstep.simulator.scenario import Scenario
-from flaxstep.simulator.scheduled_events import LEAVE_MS, RESTART_AFTER
+from flaxstep.simulator.scheduled_events import ACCEPT_AFTER_TERM_MS, RESTART_DELAY_MS
 
 DRAIN_TIME = 3000.0  # ms from `leaving` to the end of the process, where servers are replaced
 
@@ -50,7 +50,7 @@
             end = what.at + what.length
             self.bands.append(Band(what.name, what.at, end))
             getattr(self, what.name)(what)
-        streams = Streams(plan.seed)
+        streams = RandomStreams(plan.seed)
         for i, fault in enumerate(scenario.rig.faults):
             self.fault(fault, streams.generator(f"fault {i}"))
         self.steps.sort(key=lambda step: step.at)
@@ -89,7 +89,7 @@
     ) -> None:
         """A figure that comes and goes, at times of each server's own; `lasts` ms, or as long as it stays
         away."""
-        chance = Streams(self.plan.seed).chance(f"{what.name} {what.seed}")
+        chance = RandomStreams(self.plan.seed).uniform(f"{what.name} {what.seed}")
         for server in self.chosen(what):
             at, end = what.at + 1000 * what.extra * chance(), what.at + what.length
             while at < end:
@@ -149,7 +149,7 @@
             self.add(what.at, "cordon", server=server)
             down = min(what.extra, what.length / 2 - 10) / 1000
             self.add(
-                what.at + min(RESTART_AFTER, what.length / 2), "restart_server", server=server, down_s=down
+                what.at + min(RESTART_DELAY_MS, what.length / 2), "restart_server", server=server, down_s=down
             )
             self.add(what.at + what.length, "uncordon", server=server)
 
@@ -167,12 +167,14 @@
             node, at = what.first + i, what.at + what.length * i / what.count
             self.add(at, "term", name=f"node:{node}")
             longest = max(c.deadline_ms for c in self.scenario.classes)
-            self.add(at + LEAVE_MS + longest + what.extra, "start", name=f"node:{node}", keep=False)
+            self.add(
+                at + ACCEPT_AFTER_TERM_MS + longest + what.extra, "start", name=f"node:{node}", keep=False
+            )
 
     def fault(self, fault: Fault, generator: np.random.Generator) -> None:
         """A fault of the rig's own."""
-        at, length = 1000 * draw(generator, fault.at_s), 1000 * draw(generator, fault.for_s)
-        size = draw(generator, fault.size)
+        at, length = 1000 * draw_value(generator, fault.at_s), 1000 * draw_value(generator, fault.for_s)
+        size = draw_value(generator, fault.size)
         end = at + length if length else None
         whom = " - ".join(fault.between) if fault.between else f"{fault.of} {fault.how}".strip()
         self.bands.append(Band(f"{fault.name} {whom}", at, end or 0.0))
--- a/flaxstep/faultbench/soak/sampling.py
+++ b/flaxstep/faultbench/soak/sampling.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 
 START_S = 2.0  # no fault begins before the traffic flows
 CALM_S = 3.0  # at the end of a play, so that what a fault has done can show
@@ -91,7 +91,7 @@
 
 def draw_play(seed: int, number: int, seconds: float) -> DrawnPlay:
     """One play of a soak."""
-    draw = Draw(Streams(seed).generator(f"soak {number}"), seconds)
+    draw = Draw(RandomStreams(seed).generator(f"soak {number}"), seconds)
     draw.zones = draw.whole(1, 3)
     draw.nodes = draw.whole(1, 6)
     draw.servers = draw.whole(max(3, 2 * draw.zones), 8)
--- a/flaxstep/simulator/baselines.py
+++ b/flaxstep/simulator/baselines.py
@@ -28,157 +28,161 @@
 )
 from flaxstep.routing.interface import Cordon as CordonEvent
 
-LATE = 25.0  # ms by which the seeing one's view is old, on average half of it
-FIRST, LAST = (
+VIEW_MAX_AGE_MS = 25.0  # ms by which the seeing one's view is old, on average half of it
+LEAST_WORTH_AIM_SHARE, MOST_WORTH_AIM_SHARE = (
     0.45,
     0.9,
 )  # of its aim that a request of the least and of the most worth may be expected to take
 
 
-class Plain:
+class RandomPolicy:
     """Sends each request to a ready server, again if that provably never ran, and refuses nothing else."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.now = 0.0
         self.entries: dict[int, ServerEntry] = {}
-        self.out_by_hand: set[int] = set()
+        self.cordoned: set[int] = set()
         self.ready: list[int] = []
-        self.held: dict[int, int] = {}  # of ours, by server
-        self.open: dict[int, tuple[Request, list[int]]] = {}  # request, servers tried
+        self.outstanding: dict[int, int] = {}  # of ours, by server
+        self.open_requests: dict[int, tuple[Request, list[int]]] = {}  # request, servers tried
 
     def handle(self, now: float, event: Any) -> list[Any]:
         self.now = now
         if isinstance(event, Request):
-            self.open[event.id] = event, []
-            return self.attempt(event.id)
+            self.open_requests[event.id] = event, []
+            return self.send_or_refuse(event.id)
         if isinstance(event, Outcome):
-            self.held[event.server] -= 1
-            if event.over or event.id not in self.open:
-                self.open.pop(event.id, None)
+            self.outstanding[event.server] -= 1
+            if event.over or event.id not in self.open_requests:
+                self.open_requests.pop(event.id, None)
                 return []
             if event.result in NEVER_RAN:
-                return self.attempt(event.id)
-            del self.open[event.id]
+                return self.send_or_refuse(event.id)
+            del self.open_requests[event.id]
             return [Fail(event.id)]
         if isinstance(event, Withdrawn):
-            self.open.pop(event.id, None)
+            self.open_requests.pop(event.id, None)
         elif isinstance(event, ServerList):
-            return self.take_list(event)
+            return self.on_server_list(event)
         elif isinstance(event, CordonEvent):
-            self.out_by_hand.add(event.server)
-            self.settle()
+            self.cordoned.add(event.server)
+            self.update_ready()
         elif isinstance(event, Uncordon):
-            self.out_by_hand.discard(event.server)
-            self.settle()
+            self.cordoned.discard(event.server)
+            self.update_ready()
         elif not self.entries:
             return [Subscribe()]
         return [Subscribe()] if type(event).__name__ == "Timer" else []
 
-    def take_list(self, event: ServerList) -> list[Any]:
+    def on_server_list(self, event: ServerList) -> list[Any]:
         if event.kind in (ListKind.FULL, ListKind.CACHED):
             self.entries = {}
         for entry in event.servers:
             self.entries[entry.id] = entry
-        self.settle()
-        ask = event.kind in (ListKind.CACHED, ListKind.FAILED) and self.settings.ask_for_list
-        return [Wake(100.0 * (1 + self.random.random()), 0)] if ask else []
+        self.update_ready()
+        retry_call = event.kind in (ListKind.CACHED, ListKind.FAILED) and self.settings.ask_for_list
+        return [Wake(100.0 * (1 + self.random.random()), 0)] if retry_call else []
 
-    def settle(self) -> None:
+    def update_ready(self) -> None:
         ready = (i for i, entry in self.entries.items() if entry.state is State.READY)
-        self.ready = sorted(i for i in ready if i not in self.out_by_hand)
+        self.ready = sorted(i for i in ready if i not in self.cordoned)
 
-    def attempt(self, number: int) -> list[Any]:
-        request, used = self.open[number]
-        left = [i for i in self.ready if i not in used]
-        if not left or len(used) >= self.settings.max_attempts or not self.admit(request, left):
-            del self.open[number]
+    def send_or_refuse(self, number: int) -> list[Any]:
+        request, tried = self.open_requests[number]
+        candidates = [i for i in self.ready if i not in tried]
+        if not candidates or len(tried) >= self.settings.max_attempts or not self.admit(request, candidates):
+            del self.open_requests[number]
             return [Refuse(number, 0.0)]
-        server = self.pick(left)
-        used.append(server)
-        self.held[server] = self.held.get(server, 0) + 1
+        server = self.pick_server(candidates)
+        tried.append(server)
+        self.outstanding[server] = self.outstanding.get(server, 0) + 1
         return [Send(number, server, request.due - self.now)]
 
-    def admit(self, request: Request, left: Sequence[int]) -> bool:
+    def admit(self, request: Request, candidates: Sequence[int]) -> bool:
         return True
 
-    def pick(self, left: Sequence[int]) -> int:
+    def pick_server(self, candidates: Sequence[int]) -> int:
         """At random."""
-        return left[int(self.random.random() * len(left))]
+        return candidates[int(self.random.random() * len(candidates))]
 
 
-class InTurn(Plain):
+class RoundRobinPolicy(RandomPolicy):
     """Round robin."""
 
-    turn = 0
+    picks = 0
 
-    def pick(self, left: Sequence[int]) -> int:
-        self.turn += 1
-        return left[self.turn % len(left)]
+    def pick_server(self, candidates: Sequence[int]) -> int:
+        self.picks += 1
+        return candidates[self.picks % len(candidates)]
 
 
-class Least(Plain):
+class LeastOutstandingPolicy(RandomPolicy):
     """The server that holds least of ours."""
 
-    def pick(self, left: Sequence[int]) -> int:
-        return min(left, key=lambda i: (self.held.get(i, 0), self.random.random()))
+    def pick_server(self, candidates: Sequence[int]) -> int:
+        return min(candidates, key=lambda i: (self.outstanding.get(i, 0), self.random.random()))
 
 
-class TwoChoices(Plain):
+class TwoChoicesPolicy(RandomPolicy):
     """Of two at random the one that holds less of ours."""
 
-    def pick(self, left: Sequence[int]) -> int:
-        one, other = (left[int(self.random.random() * len(left))] for _ in range(2))
-        return one if self.held.get(one, 0) <= self.held.get(other, 0) else other
+    def pick_server(self, candidates: Sequence[int]) -> int:
+        one, other = (candidates[int(self.random.random() * len(candidates))] for _ in range(2))
+        return one if self.outstanding.get(one, 0) <= self.outstanding.get(other, 0) else other
 
 
-class View(Protocol):
+class TrueStateView(Protocol):
     """The true state of the servers, as the seeing baseline gets it."""
 
-    def expected(self) -> dict[int, tuple[float, float, float]]:
+    def true_state(self) -> dict[int, tuple[float, float, float]]:
         """By server: requests held, cores, ms that a request of mean work takes there alone."""
 
 
-class Seeing(Plain):
+class OmniscientPolicy(RandomPolicy):
     """Sees what every server holds and can do, a little late; the least worth is refused first."""
 
-    view: View | None = None
+    view: TrueStateView | None = None
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.seen_at = -LATE
-        self.seen: dict[int, tuple[float, float, float]] = {}
-        self.since: dict[int, int] = {}
+        self.view_taken_at = -VIEW_MAX_AGE_MS
+        self.server_states: dict[int, tuple[float, float, float]] = {}
+        self.sent_since_view: dict[int, int] = {}
         worths = sorted({c.worth for c in settings.classes})
-        step = (LAST - FIRST) / max(1, len(worths) - 1)
-        self.parts = {worth: FIRST + step * i for i, worth in enumerate(worths)}
-
-    def look(self) -> None:
-        if self.view is not None and self.now - self.seen_at >= LATE:
-            self.seen_at, self.seen, self.since = self.now, self.view.expected(), {}
-
-    def time(self, server: int) -> float:
-        held, cores, alone = self.seen.get(server, (0.0, 1.0, 1e9))
-        held += self.since.get(server, 0)
-        return alone * max(1.0, (held + 1.0) / cores)
-
-    def admit(self, request: Request, left: Sequence[int]) -> bool:
-        self.look()
-        wanted = self.settings.classes[request.cls]
-        least = min(self.time(i) for i in left)
-        part = self.parts[wanted.worth] if len(self.parts) > 1 else LAST
-        return least <= part * wanted.aim and self.now + least < request.due
-
-    def pick(self, left: Sequence[int]) -> int:
-        server = min(left, key=self.time)
-        self.since[server] = self.since.get(server, 0) + 1
+        step = (MOST_WORTH_AIM_SHARE - LEAST_WORTH_AIM_SHARE) / max(1, len(worths) - 1)
+        self.aim_shares = {worth: LEAST_WORTH_AIM_SHARE + step * i for i, worth in enumerate(worths)}
+
+    def refresh_view(self) -> None:
+        if self.view is not None and self.now - self.view_taken_at >= VIEW_MAX_AGE_MS:
+            self.view_taken_at, self.server_states, self.sent_since_view = (
+                self.now,
+                self.view.true_state(),
+                {},
+            )
+
+    def expected_ms(self, server: int) -> float:
+        held, cores, alone_ms = self.server_states.get(server, (0.0, 1.0, 1e9))
+        held += self.sent_since_view.get(server, 0)
+        return alone_ms * max(1.0, (held + 1.0) / cores)
+
+    def admit(self, request: Request, candidates: Sequence[int]) -> bool:
+        self.refresh_view()
+        request_class = self.settings.classes[request.cls]
+        shortest_ms = min(self.expected_ms(i) for i in candidates)
+        aim_share = self.aim_shares[request_class.worth] if len(self.aim_shares) > 1 else MOST_WORTH_AIM_SHARE
+        return shortest_ms <= aim_share * request_class.aim and self.now + shortest_ms < request.due
+
+    def pick_server(self, candidates: Sequence[int]) -> int:
+        server = min(candidates, key=self.expected_ms)
+        self.sent_since_view[server] = self.sent_since_view.get(server, 0) + 1
         return server
 
 
-BASELINES: dict[str, Callable[[Settings, int], Plain]] = {
-    "random": Plain,
-    "in-turn": InTurn,
-    "least": Least,
-    "two-choices": TwoChoices,
-    "seeing": Seeing,
+BASELINES: dict[str, Callable[[Settings, int], RandomPolicy]] = {
+    "random": RandomPolicy,
+    "in-turn": RoundRobinPolicy,
+    "least": LeastOutstandingPolicy,
+    "two-choices": TwoChoicesPolicy,
+    "seeing": OmniscientPolicy,
 }
--- a/flaxstep/simulator/job_servers.py
+++ b/flaxstep/simulator/job_servers.py
@@ -14,39 +14,39 @@
 from typing import Protocol
 
 from flaxstep.routing.interface import Result, State
-from flaxstep.simulator.engine import Chance, Engine
+from flaxstep.simulator.engine import Engine, UniformStream
 
-TICK = 100.0  # ms between looks at warmth, slowdown and tipping
-QUICK_ERROR = 1.0  # ms that a fast error takes
+UPDATE_INTERVAL_MS = 100.0  # ms between looks at warmth, slowdown and tipping
+FAST_ERROR_MS = 1.0  # ms that a fast error takes
 NEVER = float("inf")
 
 
-class Owner(Protocol):
+class AttemptOwner(Protocol):
     """The process that an attempt is out for."""
 
     zone: int
 
-    def ended(self, attempt: Attempt, result: Result) -> None: ...
+    def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt at a request, on its way through the farm."""
 
-    owner: Owner
-    request: int  # the owner's number for it
+    owner: AttemptOwner
+    request_id: int  # the owner's number for it
     number: int
     cls: int
     server: int
-    work: float  # ms on a standard core
-    sent: float
+    work_ms: float  # ms on a standard core
+    sent_at: float
     cell: int
     zone: int
-    limit: float = NEVER  # clock time of its time-out
+    times_out_at: float = NEVER  # clock time of its time-out
     state: int = 0  # 0 on its way, 1 waiting, 2 in work, 3 ended at the server
-    left: float = 0.0  # virtual work at which it is done
-    over: bool = False  # the node has its outcome
-    silent: bool = False  # its answer gets lost
+    finishes_at_work: float = 0.0  # virtual work at which it is done
+    has_outcome: bool = False  # the node has its outcome
+    response_lost: bool = False  # its answer gets lost
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class ChokePlan:
+class ThrottlingPlan:
     """What a seed has drawn for the sticky slowdown of the day."""
 
     on: bool
@@ -87,10 +87,10 @@
 class WorkTotals:
     """What servers of a day did, in ms of work."""
 
-    useful: float = 0.0  # for answers that served
-    done: float = 0.0
-    choked: set[int] = field(default_factory=set)
-    fallen: list[tuple[float, int]] = field(default_factory=list)  # when, who
+    useful_ms: float = 0.0  # for answers that served
+    done_ms: float = 0.0
+    throttled_servers: set[int] = field(default_factory=set)
+    crashes: list[tuple[float, int]] = field(default_factory=list)  # when, who
 
 
 class Server:
@@ -100,269 +100,275 @@
         self,
         engine: Engine,
         plan: ServerPlan,
-        choke: ChokePlan,
-        tip: tuple[float, float, float],
-        tally: WorkTotals,
-        chance: Chance,
-        answer: Callable[[Attempt, Result], None],
+        throttling: ThrottlingPlan,
+        crash_limits: tuple[float, float, float],
+        work_totals: WorkTotals,
+        uniform: UniformStream,
+        on_finished: Callable[[Attempt, Result], None],
     ) -> None:
-        self.engine, self.plan, self.choke, self.tally = engine, plan, choke, tally
-        self.chance, self.answer = chance, answer
-        self.tip_multiple, self.tip_ms, self.ramp = tip
+        self.engine, self.plan, self.throttling, self.work_totals = engine, plan, throttling, work_totals
+        self.uniform, self.on_finished = uniform, on_finished
+        self.tip_multiple, self.tip_ms, self.ramp_ms = crash_limits
         self.capacity = plan.cores * plan.speed  # ms of standard work a ms, when warm
         self.id = 0  # as nodes know it
         self.up, self.state = True, State.READY
-        self.started = 0.0  # 0: long ago
-        self.warmth_done = NEVER  # work done since the start
+        self.started_at = 0.0  # 0: long ago
+        self.warmup_work_ms = NEVER  # work done since the start
         # Troubles
         self.slow, self.taken, self.errors, self.lost, self.resets = 1.0, 0.0, 0.0, 0.0, 0.0
         self.paused = False
         # What it holds
         self.running: list[tuple[float, int, Attempt]] = []
-        self.in_work = 0
-        self.waiting: deque[Attempt] = deque()
-        self.waits = 0
-        self.open: dict[int, int] = {}  # connections in use, by node
-        self.idle: dict[int, list[float]] = {}  # when idle ones were last used, by node
-        self.connections = 0
+        self.in_service = 0
+        self.queue: deque[Attempt] = deque()
+        self.queued_count = 0
+        self.open_connections: dict[int, int] = {}  # connections in use, by node
+        self.idle_connections: dict[int, list[float]] = {}  # when idle ones were last used, by node
+        self.connection_count = 0
         # Its clock
-        self.virtual, self.at, self.pace, self.version, self.sequence = 0.0, 0.0, 0.0, 0, 0
-        self.busy = 0.0  # ms of busy cores since the last look
-        self.over_since = NEVER
-        self.choked_at = NEVER
-        self.idle_parts: deque[float] = deque(maxlen=max(1, round(choke.rest_ms / TICK)))
-        self.sent_in: deque[tuple[float, float]] = deque()  # what came lately while cold
-        self.sent_sum = 0.0
-        self.set_pace()
+        self.virtual_work, self.advanced_at, self.service_rate, self.schedule_version, self.service_starts = (
+            0.0,
+            0.0,
+            0.0,
+            0,
+            0,
+        )
+        self.busy_ms = 0.0  # ms of busy cores since the last look
+        self.overfull_since = NEVER
+        self.throttled_at = NEVER
+        self.busy_shares: deque[float] = deque(maxlen=max(1, round(throttling.rest_ms / UPDATE_INTERVAL_MS)))
+        self.recent_cold_work: deque[tuple[float, float]] = deque()  # what came lately while cold
+        self.recent_cold_work_ms = 0.0
+        self.update_service_rate()
 
     # Pace.
 
     @property
-    def held(self) -> int:
-        return self.in_work + self.waits
+    def requests_held(self) -> int:
+        return self.in_service + self.queued_count
 
     @property
-    def choked(self) -> bool:
-        return self.choked_at != NEVER
+    def is_throttled(self) -> bool:
+        return self.throttled_at != NEVER
 
-    def warmth(self) -> float:
+    def warm_share(self) -> float:
         """Capacity now, as a part of the whole: it rises with work done, at least evenly over the ramp."""
-        if not self.started:
+        if not self.started_at:
             return 1.0
         plan = self.plan
-        risen = max((self.engine.now - self.started) / self.ramp, self.warmth_done / plan.cold_ms)
-        return min(1.0, plan.cold_from + (1.0 - plan.cold_from) * risen)
+        progress = max((self.engine.now - self.started_at) / self.ramp_ms, self.warmup_work_ms / plan.cold_ms)
+        return min(1.0, plan.cold_from + (1.0 - plan.cold_from) * progress)
 
-    def set_pace(self) -> None:
-        plan, n = self.plan, self.in_work
-        if not n or self.paused or not self.up:
-            self.pace = 0.0
+    def update_service_rate(self) -> None:
+        plan, in_service = self.plan, self.in_service
+        if not in_service or self.paused or not self.up:
+            self.service_rate = 0.0
             return
-        over = self.held / plan.cores / plan.thrash_at - 1.0
-        pace = plan.speed * (1.0 - self.taken) / self.slow
-        pace *= 1.0 - plan.full_tax * self.connections / plan.connections
-        if over > 0.0:
-            pace /= 1.0 + plan.thrash * over
-        if self.started:
-            pace *= self.warmth()
-        if self.choked:
-            pace /= self.choke.slower
-        self.pace = pace * min(1.0, plan.cores / n)
-
-    def advance(self) -> None:
+        excess = self.requests_held / plan.cores / plan.thrash_at - 1.0
+        rate = plan.speed * (1.0 - self.taken) / self.slow
+        rate *= 1.0 - plan.full_tax * self.connection_count / plan.connections
+        if excess > 0.0:
+            rate /= 1.0 + plan.thrash * excess
+        if self.started_at:
+            rate *= self.warm_share()
+        if self.is_throttled:
+            rate /= self.throttling.slower
+        self.service_rate = rate * min(1.0, plan.cores / in_service)
+
+    def advance_work(self) -> None:
         now = self.engine.now
-        passed, self.at = now - self.at, now
-        if passed <= 0.0:
+        elapsed_ms, self.advanced_at = now - self.advanced_at, now
+        if elapsed_ms <= 0.0:
             return
-        n = self.in_work
-        if n:
-            gained = passed * self.pace
-            self.virtual += gained
-            self.tally.done += gained * n
-            self.busy += passed * min(1.0, n / self.plan.cores)
-            if self.started:
-                self.warmth_done += gained * n / self.capacity
-
-    def changed(self) -> None:
+        in_service = self.in_service
+        if in_service:
+            work_per_request = elapsed_ms * self.service_rate
+            self.virtual_work += work_per_request
+            self.work_totals.done_ms += work_per_request * in_service
+            self.busy_ms += elapsed_ms * min(1.0, in_service / self.plan.cores)
+            if self.started_at:
+                self.warmup_work_ms += work_per_request * in_service / self.capacity
+
+    def reschedule_completion(self) -> None:
         """What it holds or how quick it is has changed: see who is done next."""
-        waiting, plan = self.waiting, self.plan
-        while self.in_work < plan.slots and waiting:
-            attempt = waiting.popleft()
+        queue, plan = self.queue, self.plan
+        while self.in_service < plan.slots and queue:
+            attempt = queue.popleft()
             if attempt.state != 1:
                 continue  # called back while it waited
-            self.waits -= 1
-            self.start(attempt)
-        self.set_pace()
-        self.version += 1
+            self.queued_count -= 1
+            self.begin_service(attempt)
+        self.update_service_rate()
+        self.schedule_version += 1
         running = self.running
         while running and running[0][2].state != 2:
             heappop(running)
-        if running and self.pace > 0.0:
-            left = max(running[0][0] - self.virtual, 0.0) / self.pace
-            self.engine.after(left, self.finish, self.version)
+        if running and self.service_rate > 0.0:
+            delay_ms = max(running[0][0] - self.virtual_work, 0.0) / self.service_rate
+            self.engine.call_after(delay_ms, self.complete_due_attempts, self.schedule_version)
 
-    def start(self, attempt: Attempt) -> None:
-        attempt.state, attempt.left = 2, self.virtual + attempt.work
-        self.sequence += 1
-        heappush(self.running, (attempt.left, self.sequence, attempt))
-        self.in_work += 1
+    def begin_service(self, attempt: Attempt) -> None:
+        attempt.state, attempt.finishes_at_work = 2, self.virtual_work + attempt.work_ms
+        self.service_starts += 1
+        heappush(self.running, (attempt.finishes_at_work, self.service_starts, attempt))
+        self.in_service += 1
 
     # Work in and out.
 
-    def arrive(self, attempt: Attempt) -> None:
+    def on_arrival(self, attempt: Attempt) -> None:
         """A request's last byte has come."""
-        if attempt.over and attempt.state == 3:
+        if attempt.has_outcome and attempt.state == 3:
             return  # its connection ended on the way
         if not self.up:
             attempt.state = 3
-            self.answer(attempt, Result.RESET)
+            self.on_finished(attempt, Result.RESET)
             return
-        if self.errors and self.chance() < self.errors:
+        if self.errors and self.uniform() < self.errors:
             attempt.state = 3
-            self.engine.after(QUICK_ERROR, self.answer, attempt, Result.ERROR)
+            self.engine.call_after(FAST_ERROR_MS, self.on_finished, attempt, Result.ERROR)
             return
-        if self.waits >= self.plan.queue:
+        if self.queued_count >= self.plan.queue:
             attempt.state = 3
-            self.answer(attempt, Result.FULL)
+            self.on_finished(attempt, Result.FULL)
             return
-        if self.resets and self.chance() < self.resets:
+        if self.resets and self.uniform() < self.resets:
             attempt.state = 3
-            self.engine.after(
-                attempt.work / self.plan.speed * self.chance(), self.answer, attempt, Result.RESET
+            self.engine.call_after(
+                attempt.work_ms / self.plan.speed * self.uniform(), self.on_finished, attempt, Result.RESET
             )
             return
-        attempt.silent = bool(self.lost) and self.chance() < self.lost
-        self.advance()
-        if self.started:
-            self.count_cold(attempt.work)
+        attempt.response_lost = bool(self.lost) and self.uniform() < self.lost
+        self.advance_work()
+        if self.started_at:
+            self.check_cold_overload(attempt.work_ms)
             if not self.up:
                 return
-        if self.in_work < self.plan.slots:
-            self.start(attempt)
+        if self.in_service < self.plan.slots:
+            self.begin_service(attempt)
         else:
             attempt.state = 1
-            self.waiting.append(attempt)
-            self.waits += 1
-        self.changed()
+            self.queue.append(attempt)
+            self.queued_count += 1
+        self.reschedule_completion()
 
-    def finish(self, version: int) -> None:
-        if version != self.version:
+    def complete_due_attempts(self, schedule_version: int) -> None:
+        if schedule_version != self.schedule_version:
             return
-        self.advance()
+        self.advance_work()
         running = self.running
-        while running and (running[0][2].state != 2 or running[0][0] <= self.virtual + 1e-6):
+        while running and (running[0][2].state != 2 or running[0][0] <= self.virtual_work + 1e-6):
             _, _, attempt = heappop(running)
             if attempt.state != 2:
                 continue
             attempt.state = 3
-            self.in_work -= 1
-            if attempt.silent:
+            self.in_service -= 1
+            if attempt.response_lost:
                 continue
-            bad = self.chance() < self.plan.error_rate
-            self.answer(attempt, Result.ERROR if bad else Result.OK)
-        self.changed()
+            is_error = self.uniform() < self.plan.error_rate
+            self.on_finished(attempt, Result.ERROR if is_error else Result.OK)
+        self.reschedule_completion()
 
-    def drop(self, attempt: Attempt, running_too: bool) -> None:
+    def abandon_attempt(self, attempt: Attempt, cancel_running: bool) -> None:
         """Nobody waits for it any more: waiting work goes, running work where the day says so."""
         if attempt.state == 0:
             attempt.state = 3
         elif attempt.state == 1:
             attempt.state = 3
-            self.waits -= 1
-        elif attempt.state == 2 and running_too:
-            self.advance()
+            self.queued_count -= 1
+        elif attempt.state == 2 and cancel_running:
+            self.advance_work()
             attempt.state = 3
-            self.in_work -= 1
-            self.changed()
+            self.in_service -= 1
+            self.reschedule_completion()
 
     # Connections.
 
-    def connect(self, node: int, idle_ms: float) -> bool | None:
+    def acquire_connection(self, node: int, idle_ms: float) -> bool | None:
         """A connection for an attempt: False an idle one, True a new one, None no room."""
         now = self.engine.now
-        idle = self.idle.get(node)
-        while idle:
-            if now - idle[0] > idle_ms:
-                idle.pop(0)
-                self.connections -= 1
+        idle_since = self.idle_connections.get(node)
+        while idle_since:
+            if now - idle_since[0] > idle_ms:
+                idle_since.pop(0)
+                self.connection_count -= 1
                 continue
-            idle.pop()
+            idle_since.pop()
             return False
-        if self.connections >= self.plan.connections:
+        if self.connection_count >= self.plan.connections:
             return None
-        self.connections += 1
+        self.connection_count += 1
         return True
 
-    def release(self, node: int, keep: bool) -> None:
+    def release_connection(self, node: int, keep: bool) -> None:
         if keep and self.up:
-            self.idle.setdefault(node, []).append(self.engine.now)
+            self.idle_connections.setdefault(node, []).append(self.engine.now)
         else:
-            self.connections = max(0, self.connections - 1)
+            self.connection_count = max(0, self.connection_count - 1)
 
     # Life.
 
-    def stop(self) -> None:
+    def stop_process(self) -> None:
         """The process ends, with all that it holds."""
-        self.advance()
+        self.advance_work()
         self.up = False
-        held = [entry[2] for entry in self.running if entry[2].state == 2]
-        held += [attempt for attempt in self.waiting if attempt.state == 1]
-        self.running, self.in_work, self.waits = [], 0, 0
-        self.waiting.clear()
-        self.idle.clear()
-        self.connections = 0
-        for attempt in held:
+        interrupted = [entry[2] for entry in self.running if entry[2].state == 2]
+        interrupted += [attempt for attempt in self.queue if attempt.state == 1]
+        self.running, self.in_service, self.queued_count = [], 0, 0
+        self.queue.clear()
+        self.idle_connections.clear()
+        self.connection_count = 0
+        for attempt in interrupted:
             attempt.state = 3
-            self.answer(attempt, Result.RESET)
-        self.changed()
+            self.on_finished(attempt, Result.RESET)
+        self.reschedule_completion()
 
-    def boot(self) -> None:
+    def start_process(self) -> None:
         """A process starts, cold."""
-        self.up, self.state, self.started = True, State.READY, max(self.engine.now, 1e-3)
-        self.warmth_done, self.choked_at, self.over_since = 0.0, NEVER, NEVER
-        self.sent_in.clear()
-        self.sent_sum = 0.0
-        self.advance()
-        self.changed()
-
-    def count_cold(self, work: float) -> None:
+        self.up, self.state, self.started_at = True, State.READY, max(self.engine.now, 1e-3)
+        self.warmup_work_ms, self.throttled_at, self.overfull_since = 0.0, NEVER, NEVER
+        self.recent_cold_work.clear()
+        self.recent_cold_work_ms = 0.0
+        self.advance_work()
+        self.reschedule_completion()
+
+    def check_cold_overload(self, work_ms: float) -> None:
         """Work sent to a cold server within any stretch must stay under what would tip it."""
-        now, sent = self.engine.now, self.sent_in
-        if self.warmth() >= 1.0:
-            sent.clear()
-            self.sent_sum = 0.0
+        now, recent_work = self.engine.now, self.recent_cold_work
+        if self.warm_share() >= 1.0:
+            recent_work.clear()
+            self.recent_cold_work_ms = 0.0
             return
-        sent.append((now, work))
-        self.sent_sum += work
-        while now - sent[0][0] > self.tip_ms:
-            self.sent_sum -= sent.popleft()[1]
-        budget = self.tip_multiple * self.capacity * self.warmth() * self.tip_ms
-        if self.sent_sum > budget + 2 * work:  # a little slack for chance
-            self.tally.fallen.append((now, self.plan.number))
-            self.stop()
+        recent_work.append((now, work_ms))
+        self.recent_cold_work_ms += work_ms
+        while now - recent_work[0][0] > self.tip_ms:
+            self.recent_cold_work_ms -= recent_work.popleft()[1]
+        budget = self.tip_multiple * self.capacity * self.warm_share() * self.tip_ms
+        if self.recent_cold_work_ms > budget + 2 * work_ms:  # a little slack for chance
+            self.work_totals.crashes.append((now, self.plan.number))
+            self.stop_process()
             self.state = State.GONE
 
-    def look(self) -> None:
+    def update_state(self) -> None:
         """The sticky slowdown, and a pace that follows warmth."""
-        self.advance()
-        part, self.busy = min(1.0, self.busy / TICK), 0.0
-        choke, now = self.choke, self.engine.now
-        if choke.on and self.up:
-            self.idle_parts.append(part)
-            if self.choked:
-                rested = len(self.idle_parts) == self.idle_parts.maxlen
-                rested = rested and sum(self.idle_parts) / len(self.idle_parts) < choke.below
-                if rested or now - self.choked_at > choke.most_ms:
-                    self.choked_at, self.over_since = NEVER, NEVER
-                    self.changed()
-            elif self.held - self.plan.cores > choke.at * self.plan.cores:
-                self.over_since = min(self.over_since, now)
-                if now - self.over_since >= choke.over_ms:
-                    self.choked_at = now
-                    self.tally.choked.add(self.plan.number)
-                    self.idle_parts.clear()
-                    self.changed()
+        self.advance_work()
+        busy_share, self.busy_ms = min(1.0, self.busy_ms / UPDATE_INTERVAL_MS), 0.0
+        throttling, now = self.throttling, self.engine.now
+        if throttling.on and self.up:
+            self.busy_shares.append(busy_share)
+            if self.is_throttled:
+                has_rested = len(self.busy_shares) == self.busy_shares.maxlen
+                has_rested = has_rested and sum(self.busy_shares) / len(self.busy_shares) < throttling.below
+                if has_rested or now - self.throttled_at > throttling.most_ms:
+                    self.throttled_at, self.overfull_since = NEVER, NEVER
+                    self.reschedule_completion()
+            elif self.requests_held - self.plan.cores > throttling.at * self.plan.cores:
+                self.overfull_since = min(self.overfull_since, now)
+                if now - self.overfull_since >= throttling.over_ms:
+                    self.throttled_at = now
+                    self.work_totals.throttled_servers.add(self.plan.number)
+                    self.busy_shares.clear()
+                    self.reschedule_completion()
             else:
-                self.over_since = NEVER
-        if self.started and self.in_work:
-            self.changed()
+                self.overfull_since = NEVER
+        if self.started_at and self.in_service:
+            self.reschedule_completion()
--- a/flaxstep/simulator/revision_runner.py
+++ b/flaxstep/simulator/revision_runner.py
@@ -8,7 +8,7 @@
 
 import flaxstep
 
-OLD_NAMES = {  # today's modules of flaxstep.routing, and their names in the package cottonhall
+OLD_MODULE_NAMES = {  # today's modules of flaxstep.routing, and their names in the package cottonhall
     "interface": "interface",
     "membership": "membership",
     "hash_ring": "ring",
@@ -17,7 +17,7 @@
 }
 
 
-def use_routing_of(folder: Path) -> None:
+def use_routing_package_in(folder: Path) -> None:
     """Make `flaxstep.routing` the package in this folder. Nothing may have imported it before."""
     assert "flaxstep.routing" not in sys.modules
     if (folder / "flaxstep" / "routing").is_dir():
@@ -25,19 +25,23 @@
         return
     sys.path.insert(0, str(folder))  # a revision from before the package had its present name
     sys.modules["flaxstep.routing"] = importlib.import_module("cottonhall")
-    for name, old_name in OLD_NAMES.items():
+    for name, old_name in OLD_MODULE_NAMES.items():
         if (folder / "cottonhall" / f"{old_name}.py").exists():
             module = importlib.import_module(f"cottonhall.{old_name}")
             sys.modules[f"flaxstep.routing.{name}"] = module
 
 
-def main(folder: str, file: str, number: str, revision_name: str) -> None:
-    use_routing_of(Path(folder))
-    from flaxstep.simulator.runner import encode, play, player  # imports flaxstep.routing
+def main(folder: str, scenario_file: str, seed: str, revision_name: str) -> None:
+    use_routing_package_in(Path(folder))
+    from flaxstep.simulator.runner import (  # imports flaxstep.routing
+        encode_result,
+        find_policy,
+        play_scenario,
+    )
     from flaxstep.simulator.scenario import read_scenario
 
-    result = play(read_scenario(Path(file)), int(number), player(f"rev {revision_name}"))
-    sys.stdout.buffer.write(encode(result))
+    result = play_scenario(read_scenario(Path(scenario_file)), int(seed), find_policy(f"rev {revision_name}"))
+    sys.stdout.buffer.write(encode_result(result))
 
 
 if __name__ == "__main__":
--- a/flaxstep/simulator/runner.py
+++ b/flaxstep/simulator/runner.py
@@ -17,12 +17,12 @@
 from flaxstep.routing.interface import Settings
 from flaxstep.routing.policy import Policy
 from flaxstep.simulator.scenario import Scenario
-from flaxstep.simulator.scheduled_events import begin
-from flaxstep.simulator.simulated_node import Module
-from flaxstep.simulator.simulation import MakePolicy, Run, Simulation
+from flaxstep.simulator.scheduled_events import start_happening
+from flaxstep.simulator.simulated_node import RoutingPolicy
+from flaxstep.simulator.simulation import PolicyFactory, Run, Simulation
 
 ROOT = Path(__file__).resolve().parents[2]
-HERE = "here"
+CURRENT_CHECKOUT = "here"
 
 
 class NotPlayable(Exception):
@@ -30,86 +30,86 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Player:
+class PolicySource:
     """A module to play with: how to make one for a node, and which events it knows."""
 
     name: str
-    make: MakePolicy
+    make_policy: PolicyFactory
     events: frozenset[str]
 
-    def knows(self, event: str) -> bool:
+    def knows_event(self, event: str) -> bool:
         return event in self.events
 
 
-def make_policy(settings: Settings, seed: int) -> Module:
+def make_current_policy(settings: Settings, seed: int) -> RoutingPolicy:
     return Policy(settings, seed)
 
 
-def player(name: str) -> Player:
+def find_policy(name: str) -> PolicySource:
     """The module of the routing package that this process has loaded, or one of the baselines."""
-    if name == HERE or name.startswith("rev "):
-        return Player(name, make_policy, frozenset(vars(interface)))
+    if name == CURRENT_CHECKOUT or name.startswith("rev "):
+        return PolicySource(name, make_current_policy, frozenset(vars(interface)))
     from flaxstep.simulator.baselines import BASELINES  # needs today's interface, which a revision may lack
 
-    return Player(name, BASELINES[name], frozenset({"Cordon", "Uncordon"}))
+    return PolicySource(name, BASELINES[name], frozenset({"Cordon", "Uncordon"}))
 
 
-def play(scenario: Scenario, seed: int, module: Player) -> Run:
+def play_scenario(scenario: Scenario, seed: int, module: PolicySource) -> Run:
     """One day. The same scenario, seed and module give the same result, to the byte."""
-    world = Simulation(scenario, seed, module.make, module.knows)
-    world.play(partial(begin, world))
-    return world.result(module.name)
+    simulation = Simulation(scenario, seed, module.make_policy, module.knows_event)
+    simulation.run(partial(start_happening, simulation))
+    return simulation.build_result(module.name)
 
 
-def play_with(policy: str, scenario: Scenario, path: Path, seed: int) -> Run:
+def play_with_policy(policy: str, scenario: Scenario, path: Path, seed: int) -> Run:
     """One day with a module by name. A revision's has a process of its own: its interface differs."""
     if scenario.rig.faults:
         raise NotPlayable(f"{path}: rig.faults: the lab has no links and processes; 'flaxstep rig play' has")
     from flaxstep.simulator.baselines import BASELINES
 
-    if policy == HERE or policy in BASELINES:
-        return play(scenario, seed, player(policy))
-    commit, folder = revision(policy)
+    if policy == CURRENT_CHECKOUT or policy in BASELINES:
+        return play_scenario(scenario, seed, find_policy(policy))
+    commit, folder = extract_revision(policy)
     module = "flaxstep.simulator.revision_runner"
     command = [sys.executable, "-B", "-m", module, str(folder), str(path.resolve()), str(seed), commit]
     environment = os.environ | {"PYTHONPATH": str(ROOT)}
-    done = subprocess.run(command, env=environment, cwd=folder, capture_output=True, check=False)
-    if done.returncode:
-        last = done.stderr.decode(errors="replace").strip().splitlines()[-1:]
+    completed = subprocess.run(command, env=environment, cwd=folder, capture_output=True, check=False)
+    if completed.returncode:
+        last = completed.stderr.decode(errors="replace").strip().splitlines()[-1:]
         raise NotPlayable(f"{policy}: its module can't be played: {' '.join(last)}")
-    return msgspec.json.decode(done.stdout, type=Run)
+    return msgspec.json.decode(completed.stdout, type=Run)
 
 
-def revision(name: str) -> tuple[str, Path]:
+def extract_revision(name: str) -> tuple[str, Path]:
     """The commit that a name means, and a folder with its routing package; kept for the next time."""
-    commit = git("rev-parse", "--verify", "--quiet", f"{name}^{{commit}}").decode().strip()
+    commit = run_git("rev-parse", "--verify", "--quiet", f"{name}^{{commit}}").decode().strip()
     if not commit:
         raise NotPlayable(f"{name}: neither 'here', nor a baseline, nor a revision of this repository")
     folder = ROOT / "runs" / "modules" / commit
     if not folder.exists():
-        archive = git("archive", "--format=tar", commit, "flaxstep/routing")
-        archive = archive or git("archive", "--format=tar", commit, "cottonhall")  # its earlier name
+        archive = run_git("archive", "--format=tar", commit, "flaxstep/routing")
+        archive = archive or run_git("archive", "--format=tar", commit, "cottonhall")  # its earlier name
         if not archive:
             raise NotPlayable(f"{name}: has neither flaxstep/routing nor cottonhall")
-        half = folder.with_name(f"{commit}.{os.getpid()}")
-        half.mkdir(parents=True)
+        unpacked = folder.with_name(f"{commit}.{os.getpid()}")
+        unpacked.mkdir(parents=True)
         with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
-            tar.extractall(half, filter="data")
+            tar.extractall(unpacked, filter="data")
         try:
-            half.rename(folder)
+            unpacked.rename(folder)
         except OSError:  # another process was first
             if not folder.exists():
                 raise
     return commit[:12], folder
 
 
-def git(*arguments: str) -> bytes:
+def run_git(*arguments: str) -> bytes:
     try:
         return subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True, check=False).stdout
     except FileNotFoundError:
         raise NotPlayable("git is missing, so only 'here' and the baselines can be played") from None
 
 
-def encode(run: Run) -> bytes:
+def encode_result(run: Run) -> bytes:
     """The result file: JSON, keys in their order."""
     return msgspec.json.encode(run) + b"\n"
--- a/flaxstep/simulator/sampling.py
+++ b/flaxstep/simulator/sampling.py
@@ -9,15 +9,15 @@
 import numpy.typing as npt
 
 from flaxstep.simulator.config_types import Range
-from flaxstep.simulator.engine import Streams
-from flaxstep.simulator.job_servers import ChokePlan, ServerPlan
+from flaxstep.simulator.engine import RandomStreams
+from flaxstep.simulator.job_servers import ServerPlan, ThrottlingPlan
 from flaxstep.simulator.scenario import Act, Scenario, Trouble
 
-NOISE = 1 << 14  # numbers in the table of noise that attempts look up; a power of two
+NOISE_TABLE_SIZE = 1 << 14  # numbers in the table of noise that attempts look up; a power of two
 Floats = npt.NDArray[np.float64]
 
 
-def draw(generator: np.random.Generator, value: Range) -> float:
+def draw_value(generator: np.random.Generator, value: Range) -> float:
     """A figure, or one from its range."""
     return float(generator.uniform(*value)) if isinstance(value, tuple) else float(value)
 
@@ -30,7 +30,7 @@
     return generator.lognormal(-sigma * sigma / 2, sigma, size)
 
 
-def split(shares: list[float], total: int) -> list[int]:
+def split_by_shares(shares: list[float], total: int) -> list[int]:
     """`total` things dealt out by shares, the largest remainders first."""
     whole = sum(shares)
     exact = [total * share / whole for share in shares]
@@ -76,7 +76,7 @@
     length: float  # ms
     servers: list[ServerPlan]
     node_zones: list[int]
-    choke: ChokePlan
+    choke: ThrottlingPlan
     figures: dict[str, float]  # of the network, clients, front and discovery
     troubles: list[Happening]
     acts: list[Happening]
@@ -86,74 +86,74 @@
 
 
 def draw_plan(scenario: Scenario, seed: int) -> Plan:
-    streams = Streams(seed)
-    day = streams.generator("day")
-    length = 1000.0 * draw(day, scenario.length_s)
+    streams = RandomStreams(seed)
+    day_draws = streams.generator("day")
+    length = 1000.0 * draw_value(day_draws, scenario.length_s)
     servers = draw_servers(scenario, streams.generator("servers"))
     choke = scenario.choke
-    on = float(day.random()) < choke.share
-    plan = ChokePlan(
+    on = float(day_draws.random()) < choke.share
+    throttling = ThrottlingPlan(
         on=on,
-        at=float(day.uniform(*choke.at)),
-        over_ms=1000 * float(day.uniform(*choke.over_s)),
-        slower=float(day.uniform(*choke.slower)),
-        rest_ms=1000 * float(day.uniform(*choke.rest_s)),
-        below=float(day.uniform(*choke.below)),
-        most_ms=1000 * float(day.uniform(*choke.most_s)),
+        at=float(day_draws.uniform(*choke.at)),
+        over_ms=1000 * float(day_draws.uniform(*choke.over_s)),
+        slower=float(day_draws.uniform(*choke.slower)),
+        rest_ms=1000 * float(day_draws.uniform(*choke.rest_s)),
+        below=float(day_draws.uniform(*choke.below)),
+        most_ms=1000 * float(day_draws.uniform(*choke.most_s)),
     )
     figures = {
-        f"{name}.{key}": draw(day, value)
+        f"{name}.{key}": draw_value(day_draws, value)
         for name in ("net", "conn", "clients", "front", "discovery")
         for key, value in msgspec.structs.asdict(getattr(scenario, name)).items()
         if isinstance(value, int | float | tuple)
     }
-    figures["cancel_running"] = float(day.random() < 0.5)
+    figures["cancel_running"] = float(day_draws.random() < 0.5)
     zones = scenario.fleet.zones
     node_zones = [i % zones for i in range(scenario.fleet.nodes)]
-    troubles = [happening(t, streams.generator(f"trouble {i}")) for i, t in enumerate(scenario.troubles)]
-    acts = [happening(a, streams.generator(f"act {i}")) for i, a in enumerate(scenario.acts)]
+    troubles = [draw_happening(t, streams.generator(f"trouble {i}")) for i, t in enumerate(scenario.troubles)]
+    acts = [draw_happening(a, streams.generator(f"act {i}")) for i, a in enumerate(scenario.acts)]
     bursts = [t for t in troubles if t.name == "burst"]
-    tries, quotas = draw_tries(scenario, streams, servers, length, bursts)
+    tries, quotas = draw_first_tries(scenario, streams, servers, length, bursts)
     noise = [
-        lognormal(generator, draw(generator, c.attempt_noise), NOISE).tolist()
+        lognormal(generator, draw_value(generator, c.attempt_noise), NOISE_TABLE_SIZE).tolist()
         for c in scenario.classes
         for generator in [streams.generator(f"noise {c.name}")]
     ]
-    return Plan(seed, length, servers, node_zones, plan, figures, troubles, acts, tries, quotas, noise)
+    return Plan(seed, length, servers, node_zones, throttling, figures, troubles, acts, tries, quotas, noise)
 
 
-def happening(what: Trouble | Act, generator: np.random.Generator) -> Happening:
-    at = 1000 * draw(generator, what.at_s)
+def draw_happening(what: Trouble | Act, generator: np.random.Generator) -> Happening:
+    at = 1000 * draw_value(generator, what.at_s)
     seed = int(generator.integers(1 << 62))
     if isinstance(what, Act):
-        length, down = 1000 * draw(generator, what.for_s), 1000 * draw(generator, what.down_s)
+        length, down = 1000 * draw_value(generator, what.for_s), 1000 * draw_value(generator, what.down_s)
         return Happening(what.name, at, length, extra=down, first=what.from_, count=what.count, seed=seed)
-    length = 1000 * draw(generator, what.len_s)
-    part, size, extra = (draw(generator, value) for value in (what.part, what.size, what.extra))
+    length = 1000 * draw_value(generator, what.len_s)
+    part, size, extra = (draw_value(generator, value) for value in (what.part, what.size, what.extra))
     return Happening(what.name, at, length, part, size, extra, what.steps, seed=seed)
 
 
 def draw_servers(scenario: Scenario, generator: np.random.Generator) -> list[ServerPlan]:
     fleet, conn = scenario.fleet, scenario.conn
-    counts = split([kind.share for kind in scenario.kinds], fleet.servers)
+    counts = split_by_shares([kind.share for kind in scenario.kinds], fleet.servers)
     kinds = [i for i, count in enumerate(counts) for _ in range(count)]
     generator.shuffle(kinds)
-    skew = draw(generator, fleet.server_skew)
+    skew = draw_value(generator, fleet.server_skew)
     shares = [max(0.1, 1.0 + skew * float(generator.uniform(-1, 1))) for _ in range(fleet.zones)]
-    zones = [z for z, count in enumerate(split(shares, fleet.servers)) for _ in range(count)]
-    cell_size = max(1, round(draw(generator, fleet.cell_size)))
-    speeds = [draw(generator, kind.speed) for kind in scenario.kinds]
-    spreads = [draw(generator, kind.speed_cv) for kind in scenario.kinds]
-    connections, tax = draw(generator, conn.cap_per_core), draw(generator, conn.full_tax)
+    zones = [z for z, count in enumerate(split_by_shares(shares, fleet.servers)) for _ in range(count)]
+    cell_size = max(1, round(draw_value(generator, fleet.cell_size)))
+    speeds = [draw_value(generator, kind.speed) for kind in scenario.kinds]
+    spreads = [draw_value(generator, kind.speed_cv) for kind in scenario.kinds]
+    connections, tax = draw_value(generator, conn.cap_per_core), draw_value(generator, conn.full_tax)
     drawn = [
         (
-            draw(generator, kind.slots_per_core),
-            draw(generator, kind.queue_per_core),
-            draw(generator, kind.thrash),
-            draw(generator, kind.thrash_at),
-            draw(generator, kind.cold_from),
-            1000 * draw(generator, kind.cold_s),
-            draw(generator, kind.error_rate),
+            draw_value(generator, kind.slots_per_core),
+            draw_value(generator, kind.queue_per_core),
+            draw_value(generator, kind.thrash),
+            draw_value(generator, kind.thrash_at),
+            draw_value(generator, kind.cold_from),
+            1000 * draw_value(generator, kind.cold_s),
+            draw_value(generator, kind.error_rate),
         )
         for kind in scenario.kinds
     ]
@@ -183,30 +183,34 @@
     return plans
 
 
-def draw_tries(
-    scenario: Scenario, streams: Streams, servers: list[ServerPlan], length: float, bursts: list[Happening]
+def draw_first_tries(
+    scenario: Scenario,
+    streams: RandomStreams,
+    servers: list[ServerPlan],
+    length: float,
+    bursts: list[Happening],
 ) -> tuple[FirstTries, list[float]]:
     """Arrivals of a day: Poisson, with a slow wave and bursts, dealt out over classes, tenants and zones."""
     generator, load = streams.generator("arrivals"), scenario.load
     capacity = sum(plan.cores * plan.speed for plan in servers)  # ms of work a ms
-    works = [draw(generator, c.work_ms) for c in scenario.classes]
-    spreads = [draw(generator, c.cv) for c in scenario.classes]
+    works = [draw_value(generator, c.work_ms) for c in scenario.classes]
+    spreads = [draw_value(generator, c.cv) for c in scenario.classes]
     class_part = np.array([c.share for c in scenario.classes]) / sum(c.share for c in scenario.classes)
     mean_work = float(np.dot(class_part, works))
-    rate = draw(generator, load.of_capacity) * capacity / mean_work  # a ms
-    quota = draw(generator, load.quota_of_capacity) * capacity / mean_work * 1000
-    swing, period = draw(generator, load.swing), 1000 * draw(generator, load.wave_s)
+    rate = draw_value(generator, load.of_capacity) * capacity / mean_work  # a ms
+    quota = draw_value(generator, load.quota_of_capacity) * capacity / mean_work * 1000
+    swing, period = draw_value(generator, load.swing), 1000 * draw_value(generator, load.wave_s)
     phase = float(generator.uniform(0, 2 * np.pi))
     top = rate * (1 + swing) * max([1.0] + [burst.size for burst in bursts])
     count = int(generator.poisson(top * length))
     at = np.sort(generator.uniform(0, length, count))
-    wanted = rate * (1 + swing * np.sin(2 * np.pi * at / period + phase))
+    rate_at = rate * (1 + swing * np.sin(2 * np.pi * at / period + phase))
     for burst in bursts:
         rise = max(1000 * burst.extra, 1.0)
         up = np.clip((at - burst.at) / rise, 0, 1)
         down = np.clip((burst.at + burst.length - at) / rise, 0, 1)
-        wanted *= 1 + (burst.size - 1) * np.minimum(up, down)
-    at = at[generator.uniform(0, top, count) < wanted]
+        rate_at *= 1 + (burst.size - 1) * np.minimum(up, down)
+    at = at[generator.uniform(0, top, count) < rate_at]
     n = len(at)
     cls = streams.generator("classes").choice(len(class_part), n, p=class_part)
     sizes = streams.generator("work")
@@ -214,10 +218,10 @@
     for i, mean in enumerate(works):
         mine = cls == i
         work[mine] = mean * lognormal(sizes, spreads[i], int(mine.sum()))
-    tenants = [t.share * draw(generator, t.usage) for t in scenario.tenants] or [1.0]
+    tenants = [t.share * draw_value(generator, t.usage) for t in scenario.tenants] or [1.0]
     part = np.array(tenants) / sum(tenants)
     tenant = streams.generator("tenants").choice(len(part), n, p=part)
-    skew = draw(generator, load.zone_skew)
+    skew = draw_value(generator, load.zone_skew)
     zone_part = 1 + skew * generator.uniform(-1, 1, scenario.fleet.zones)
     zone = streams.generator("zones").choice(scenario.fleet.zones, n, p=zone_part / zone_part.sum())
     tries = FirstTries(at.tolist(), cls.tolist(), tenant.tolist(), zone.tolist(), work.tolist())
--- a/flaxstep/simulator/scheduled_events.py
+++ b/flaxstep/simulator/scheduled_events.py
@@ -13,217 +13,241 @@
 from flaxstep.simulator.simulated_node import SimulatedNode
 from flaxstep.simulator.simulation import Simulation
 
-CALL_MS = 5.0  # between an operator's calls at one node and the next
-RESTART_AFTER = 1000.0  # ms from the cordon to the restart of the server
-LEAVE_MS = 600.0  # ms for which a process that was told to end still takes what comes
-READY_MS = 250.0  # ms from the start of a node's process to its yes
+OPERATOR_CALL_GAP_MS = 5.0  # between an operator's calls at one node and the next
+RESTART_DELAY_MS = 1000.0  # ms from the cordon to the restart of the server
+ACCEPT_AFTER_TERM_MS = 600.0  # ms for which a process that was told to end still takes what comes
+NODE_STARTUP_MS = 250.0  # ms from the start of a node's process to its yes
 
 
-def chosen(world: Simulation, what: Happening) -> list[Server]:
+def choose_servers(simulation: Simulation, happening: Happening) -> list[Server]:
     """The part of the servers that a trouble meets, at least one."""
-    generator = np.random.Generator(np.random.PCG64(what.seed))
-    count = max(1, round(what.part * len(world.servers)))
-    picked = generator.choice(len(world.servers), min(count, len(world.servers)), replace=False)
-    return [world.servers[i] for i in sorted(picked.tolist())]
+    generator = np.random.Generator(np.random.PCG64(happening.seed))
+    count = max(1, round(happening.part * len(simulation.servers)))
+    picked = generator.choice(len(simulation.servers), min(count, len(simulation.servers)), replace=False)
+    return [simulation.servers[i] for i in sorted(picked.tolist())]
 
 
-def set_for(world: Simulation, what: Happening, name: str, value: object, normal: object) -> None:
+def set_attribute_for(
+    simulation: Simulation, happening: Happening, name: str, value: object, normal: object
+) -> None:
     """A figure of some servers is another for a while."""
 
-    def put(servers: list[Server], figure: object) -> None:
+    def set_attribute(servers: list[Server], figure: object) -> None:
         for server in servers:
-            server.advance()
+            server.advance_work()
             setattr(server, name, figure)
-            server.changed()
+            server.reschedule_completion()
 
-    servers = chosen(world, what)
-    put(servers, value)
-    world.engine.after(what.length, put, servers, normal)
+    servers = choose_servers(simulation, happening)
+    set_attribute(servers, value)
+    simulation.engine.call_after(happening.length, set_attribute, servers, normal)
 
 
-def slow(world: Simulation, what: Happening) -> None:
-    set_for(world, what, "slow", max(1.0, what.size), 1.0)
+def slow(simulation: Simulation, happening: Happening) -> None:
+    set_attribute_for(simulation, happening, "slow", max(1.0, happening.size), 1.0)
 
 
-def fast_errors(world: Simulation, what: Happening) -> None:
-    set_for(world, what, "errors", what.size, 0.0)
+def fast_errors(simulation: Simulation, happening: Happening) -> None:
+    set_attribute_for(simulation, happening, "errors", happening.size, 0.0)
 
 
-def lost(world: Simulation, what: Happening) -> None:
-    set_for(world, what, "lost", what.size, 0.0)
+def lost(simulation: Simulation, happening: Happening) -> None:
+    set_attribute_for(simulation, happening, "lost", happening.size, 0.0)
 
 
-def resets(world: Simulation, what: Happening) -> None:
-    set_for(world, what, "resets", what.size, 0.0)
+def resets(simulation: Simulation, happening: Happening) -> None:
+    set_attribute_for(simulation, happening, "resets", happening.size, 0.0)
 
 
-def pauses(world: Simulation, what: Happening) -> None:
+def pauses(simulation: Simulation, happening: Happening) -> None:
     """Servers stand still, each at its own times."""
-    chance = world.streams.chance(f"pauses {what.seed}")
-    end = world.engine.now + what.length
+    uniform = simulation.streams.uniform(f"pauses {happening.seed}")
+    end = simulation.engine.now + happening.length
 
-    def put(server: Server, paused: bool) -> None:
-        server.advance()
+    def set_attribute(server: Server, paused: bool) -> None:
+        server.advance_work()
         server.paused = paused
-        server.changed()
+        server.reschedule_completion()
         if paused:
-            world.engine.after(what.size, put, server, False)
-        elif world.engine.now < end:
-            world.engine.after(1000 * what.extra * chance.between(0.5, 1.5), put, server, True)
+            simulation.engine.call_after(happening.size, set_attribute, server, False)
+        elif simulation.engine.now < end:
+            simulation.engine.call_after(
+                1000 * happening.extra * uniform.between(0.5, 1.5), set_attribute, server, True
+            )
 
-    for server in chosen(world, what):
-        world.engine.after(1000 * what.extra * chance(), put, server, True)
+    for server in choose_servers(simulation, happening):
+        simulation.engine.call_after(1000 * happening.extra * uniform(), set_attribute, server, True)
 
 
-def neighbour(world: Simulation, what: Happening) -> None:
+def neighbour(simulation: Simulation, happening: Happening) -> None:
     """Another program takes a part of the machine, on and off."""
-    chance = world.streams.chance(f"neighbour {what.seed}")
-    end = world.engine.now + what.length
+    uniform = simulation.streams.uniform(f"neighbour {happening.seed}")
+    end = simulation.engine.now + happening.length
 
-    def put(server: Server, taken: float) -> None:
-        server.advance()
-        server.taken = taken if world.engine.now < end else 0.0
-        server.changed()
-        if world.engine.now < end:
-            again = 1000 * what.extra * chance.between(0.5, 1.5)
-            world.engine.after(again, put, server, 0.0 if taken else what.size)
+    def set_attribute(server: Server, taken: float) -> None:
+        server.advance_work()
+        server.taken = taken if simulation.engine.now < end else 0.0
+        server.reschedule_completion()
+        if simulation.engine.now < end:
+            again = 1000 * happening.extra * uniform.between(0.5, 1.5)
+            simulation.engine.call_after(again, set_attribute, server, 0.0 if taken else happening.size)
 
-    for server in chosen(world, what):
-        world.engine.after(1000 * what.extra * chance(), put, server, what.size)
+    for server in choose_servers(simulation, happening):
+        simulation.engine.call_after(
+            1000 * happening.extra * uniform(), set_attribute, server, happening.size
+        )
 
 
 def burst(_: Simulation, __: Happening) -> None:
     """In the arrivals already."""
 
 
-def cut(world: Simulation, what: Happening) -> None:
+def cut(simulation: Simulation, happening: Happening) -> None:
     """A zone is cut off from the others."""
-    zone = what.seed % world.scenario.fleet.zones
-    world.cut.add(zone)
-    world.engine.after(what.length, world.cut.discard, zone)
+    zone = happening.seed % simulation.scenario.fleet.zones
+    simulation.partitioned_zones.add(zone)
+    simulation.engine.call_after(happening.length, simulation.partitioned_zones.discard, zone)
 
 
-def restart_server(world: Simulation, server: Server, down: float) -> None:
+def restart_server(simulation: Simulation, server: Server, down: float) -> None:
     """Its process ends and starts again, cold; discovery hears of both, late."""
-    figures = world.plan.figures
-    server.stop()
+    figures = simulation.plan.figures
+    server.stop_process()
     server.state = State.GONE
     if down > 1000 * figures["discovery.notice_s"]:
-        world.discovery.hear(server, State.GONE, 1000 * figures["discovery.notice_s"])
+        simulation.discovery.schedule_update(server, State.GONE, 1000 * figures["discovery.notice_s"])
 
-    def boot() -> None:
-        server.boot()
-        world.discovery.hear(server, State.READY, 1000 * figures["discovery.add_s"])
+    def start_again() -> None:
+        server.start_process()
+        simulation.discovery.schedule_update(server, State.READY, 1000 * figures["discovery.add_s"])
 
-    world.engine.after(down, boot)
+    simulation.engine.call_after(down, start_again)
 
 
-def replace(world: Simulation, what: Happening) -> None:
+def replace(simulation: Simulation, happening: Happening) -> None:
     """Servers drain, end and start again, in steps."""
-    servers = chosen(world, what)
-    notice = 1000 * world.plan.figures["discovery.notice_s"]
+    servers = choose_servers(simulation, happening)
+    notice_ms = 1000 * simulation.plan.figures["discovery.notice_s"]
 
     def drain(server: Server) -> None:
         server.state = State.DRAINING
-        world.discovery.hear(server, State.DRAINING, min(notice, 500.0))
-        world.engine.after(3000.0, restart_server, world, server, 1000.0)
+        simulation.discovery.schedule_update(server, State.DRAINING, min(notice_ms, 500.0))
+        simulation.engine.call_after(3000.0, restart_server, simulation, server, 1000.0)
 
     for i, server in enumerate(servers):
-        world.engine.after(what.length * (i * what.steps // len(servers)) / what.steps, drain, server)
+        simulation.engine.call_after(
+            happening.length * (i * happening.steps // len(servers)) / happening.steps, drain, server
+        )
 
 
-def kill(world: Simulation, what: Happening) -> None:
+def kill(simulation: Simulation, happening: Happening) -> None:
     """Nodes die, in steps, and start again after a while; the front notices late."""
-    generator = np.random.Generator(np.random.PCG64(what.seed))
-    count = max(1, round(what.part * len(world.processes)))
-    nodes = sorted(generator.choice(len(world.processes), count, replace=False).tolist())
+    generator = np.random.Generator(np.random.PCG64(happening.seed))
+    count = max(1, round(happening.part * len(simulation.processes)))
+    nodes = sorted(generator.choice(len(simulation.processes), count, replace=False).tolist())
     for i, node in enumerate(nodes):
-        at = what.length * (i * what.steps // len(nodes)) / what.steps
-        world.engine.after(at, fall, world, node, 1000 * what.extra)
+        at = happening.length * (i * happening.steps // len(nodes)) / happening.steps
+        simulation.engine.call_after(at, crash_node, simulation, node, 1000 * happening.extra)
 
 
-def fall(world: Simulation, node: int, down: float) -> None:
-    for process in list(world.processes[node]):
-        world.end(process)
-    notice = 1000 * world.plan.figures["front.notice_s"]
-    if down + READY_MS > notice:
-        world.engine.after(notice, world.front.learn, node, False)
+def crash_node(simulation: Simulation, node: int, down: float) -> None:
+    for process in list(simulation.processes[node]):
+        simulation.end_process(process)
+    notice_ms = 1000 * simulation.plan.figures["front.notice_s"]
+    if down + NODE_STARTUP_MS > notice_ms:
+        simulation.engine.call_after(notice_ms, simulation.front.set_node_up, node, False)
 
-    def rise() -> None:
-        world.start(node)
-        world.engine.after(READY_MS, world.front.learn, node, True)
+    def start_again() -> None:
+        simulation.start_process(node)
+        simulation.engine.call_after(NODE_STARTUP_MS, simulation.front.set_node_up, node, True)
 
-    world.engine.after(down, rise)
+    simulation.engine.call_after(down, start_again)
 
 
 # What operators do.
 
 
-def cordon(world: Simulation, what: Happening) -> None:
+def cordon(simulation: Simulation, happening: Happening) -> None:
     """Servers are taken out at every node, restarted, and called back."""
-    for server in world.servers[what.first : what.first + what.count]:
-        for node in range(len(world.processes)):
-            world.engine.after(
-                CALL_MS * node, at_node, world, node, partial(SimulatedNode.cordon, server=server.id)
+    for server in simulation.servers[happening.first : happening.first + happening.count]:
+        for node in range(len(simulation.processes)):
+            simulation.engine.call_after(
+                OPERATOR_CALL_GAP_MS * node,
+                call_processes,
+                simulation,
+                node,
+                partial(SimulatedNode.cordon, server=server.id),
+            )
+            back = happening.length + OPERATOR_CALL_GAP_MS * node
+            simulation.engine.call_after(
+                back, call_processes, simulation, node, partial(SimulatedNode.uncordon, server=server.id)
             )
-            back = what.length + CALL_MS * node
-            world.engine.after(back, at_node, world, node, partial(SimulatedNode.uncordon, server=server.id))
-        restart_in = min(RESTART_AFTER, what.length / 2)
-        world.engine.after(restart_in, restart_server, world, server, min(what.extra, what.length / 2 - 10))
+        restart_in = min(RESTART_DELAY_MS, happening.length / 2)
+        simulation.engine.call_after(
+            restart_in, restart_server, simulation, server, min(happening.extra, happening.length / 2 - 10)
+        )
 
 
-def at_node(world: Simulation, node: int, call: Callable[[SimulatedNode], None]) -> None:
-    for process in world.processes[node]:
+def call_processes(simulation: Simulation, node: int, call: Callable[[SimulatedNode], None]) -> None:
+    for process in simulation.processes[node]:
         call(process)
 
 
-def quiesce(world: Simulation, what: Happening) -> None:
+def quiesce(simulation: Simulation, happening: Happening) -> None:
     """Nodes are emptied and called back."""
-    health = 1000 * world.scenario.front.health_s
-    for node in range(what.first, what.first + what.count):
-        at_node(world, node, lambda process: process.tell_if_known("Drain", True))
-        world.engine.after(health, world.front.learn, node, False)
-        world.engine.after(what.length, resume, world, node)
+    health_check_ms = 1000 * simulation.scenario.front.health_s
+    for node in range(happening.first, happening.first + happening.count):
+        call_processes(simulation, node, lambda process: process.dispatch_if_known("Drain", True))
+        simulation.engine.call_after(health_check_ms, simulation.front.set_node_up, node, False)
+        simulation.engine.call_after(happening.length, resume_node, simulation, node)
 
 
-def resume(world: Simulation, node: int) -> None:
-    at_node(world, node, lambda process: process.tell_if_known("Drain", False))
-    world.engine.after(1000 * world.scenario.front.health_s, world.front.learn, node, True)
+def resume_node(simulation: Simulation, node: int) -> None:
+    call_processes(simulation, node, lambda process: process.dispatch_if_known("Drain", False))
+    simulation.engine.call_after(
+        1000 * simulation.scenario.front.health_s, simulation.front.set_node_up, node, True
+    )
 
 
-def upgrade(world: Simulation, what: Happening) -> None:
+def upgrade(simulation: Simulation, happening: Happening) -> None:
     """A second process of a node starts; when it is ready the first is told to end."""
-    for node in range(what.first, what.first + what.count):
-        old = list(world.processes[node])
-        new = world.start(node)
+    for node in range(happening.first, happening.first + happening.count):
+        old = list(simulation.processes[node])
+        new = simulation.start_process(node)
         for process in old:
-            for server in process.cordoned:
+            for server in process.cordoned_since:
                 new.cordon(server)
-        world.engine.after(READY_MS + LEAVE_MS, leave, world, old)
+        simulation.engine.call_after(NODE_STARTUP_MS + ACCEPT_AFTER_TERM_MS, stop_processes, simulation, old)
 
 
-def leave(world: Simulation, processes: list[SimulatedNode]) -> None:
+def stop_processes(simulation: Simulation, processes: list[SimulatedNode]) -> None:
     for process in processes:
         process.stopping = True
-        longest = max(c.deadline_ms for c in world.scenario.classes)
-        world.engine.after(longest, world.end, process)
+        longest_deadline_ms = max(c.deadline_ms for c in simulation.scenario.classes)
+        simulation.engine.call_after(longest_deadline_ms, simulation.end_process, process)
 
 
-def restart(world: Simulation, what: Happening) -> None:
+def restart(simulation: Simulation, happening: Happening) -> None:
     """Nodes are told to end one after the other, and start again."""
-    for i in range(what.count):
-        world.engine.after(what.length * i / what.count, restart_node, world, what.first + i, what.extra)
+    for i in range(happening.count):
+        simulation.engine.call_after(
+            happening.length * i / happening.count,
+            restart_node,
+            simulation,
+            happening.first + i,
+            happening.extra,
+        )
 
 
-def restart_node(world: Simulation, node: int, down: float) -> None:
-    health = 1000 * world.scenario.front.health_s
-    at_node(world, node, lambda process: process.tell_if_known("Drain", True))
-    world.engine.after(health, world.front.learn, node, False)
-    longest = max(c.deadline_ms for c in world.scenario.classes)
-    world.engine.after(health + longest, fall, world, node, down)
+def restart_node(simulation: Simulation, node: int, down: float) -> None:
+    health_check_ms = 1000 * simulation.scenario.front.health_s
+    call_processes(simulation, node, lambda process: process.dispatch_if_known("Drain", True))
+    simulation.engine.call_after(health_check_ms, simulation.front.set_node_up, node, False)
+    longest_deadline_ms = max(c.deadline_ms for c in simulation.scenario.classes)
+    simulation.engine.call_after(health_check_ms + longest_deadline_ms, crash_node, simulation, node, down)
 
 
-HAPPENINGS: dict[str, Callable[[Simulation, Happening], None]] = {
+HAPPENING_HANDLERS: dict[str, Callable[[Simulation, Happening], None]] = {
     "slow": slow,
     "fast_errors": fast_errors,
     "lost": lost,
@@ -241,5 +265,5 @@
 }
 
 
-def begin(world: Simulation, what: Happening) -> None:
-    HAPPENINGS[what.name](world, what)
+def start_happening(simulation: Simulation, happening: Happening) -> None:
+    HAPPENING_HANDLERS[happening.name](simulation, happening)
--- a/flaxstep/simulator/scoring.py
+++ b/flaxstep/simulator/scoring.py
@@ -8,8 +8,8 @@
 
 from flaxstep.simulator.scenario import Scenario
 
-WINDOW = 10  # s of the worst stretch
-MOST_BREACHES = 50  # of a rule that are kept with their details; the rest are counted
+WINDOW_S = 10  # s of the worst stretch
+MAX_DETAILED_BREACHES_PER_RULE = 50  # of a rule that are kept with their details; the rest are counted
 
 
 class Breach(msgspec.Struct, frozen=True):
@@ -39,15 +39,15 @@
 
 
 @dataclass(slots=True)
-class Bill:
+class CostCounters:
     """What is paid for, counted as it happens."""
 
     attempts: int = 0
-    across: int = 0  # attempts that crossed zones
+    cross_zone_attempts: int = 0  # attempts that crossed zones
     probes: int = 0
     peer_bytes: int = 0
-    late_lost: float = 0.0  # worth that ended unserved after its aim
-    asked_work: float = 0.0
+    late_unserved_worth: float = 0.0  # worth that ended unserved after its aim
+    requested_work_ms: float = 0.0
 
 
 @dataclass(slots=True)
@@ -63,9 +63,9 @@
     first_tries: int = 0
     tries: int = 0
     breaches: list[Breach] = field(default_factory=list)
-    broken: int = 0
-    by_rule: dict[str, int] = field(default_factory=dict)
-    bill: Bill = field(default_factory=Bill)
+    breach_count: int = 0
+    breaches_by_rule: dict[str, int] = field(default_factory=dict)
+    counters: CostCounters = field(default_factory=CostCounters)
 
     def __post_init__(self) -> None:
         self.asked, self.earned = [0.0] * self.seconds, [0.0] * self.seconds
@@ -73,63 +73,65 @@
         self.by_class = [[1e-9, 0.0] for _ in self.scenario.classes]
         self.by_tenant = [[1e-9, 0.0] for _ in self.scenario.tenants]
 
-    def breach(self, rule: str, at: float, node: int, request: int, server: int, what: str) -> None:
-        self.broken += 1
-        self.by_rule[rule] = self.by_rule.get(rule, 0) + 1
-        if self.by_rule[rule] <= MOST_BREACHES:
+    def record_breach(self, rule: str, at: float, node: int, request: int, server: int, what: str) -> None:
+        self.breach_count += 1
+        self.breaches_by_rule[rule] = self.breaches_by_rule.get(rule, 0) + 1
+        if self.breaches_by_rule[rule] <= MAX_DETAILED_BREACHES_PER_RULE:
             self.breaches.append(Breach(rule, round(at, 3), node, request, server, what))
 
-    def ask(self, second: int, cls: int, tenant: int, worth: float, inside: bool) -> None:
+    def record_request(self, second: int, cls: int, tenant: int, worth: float, within_quota: bool) -> None:
         """A first try asks for its worth; beyond its tenant's share it counts for no tenant."""
         self.first_tries += 1
         self.asked[second] += worth
         self.by_class[cls][0] += worth
-        if inside and self.by_tenant:
+        if within_quota and self.by_tenant:
             self.by_tenant[tenant][0] += worth
 
-    def earn(self, second: int, cls: int, tenant: int, worth: float, inside: bool) -> None:
+    def record_served(self, second: int, cls: int, tenant: int, worth: float, within_quota: bool) -> None:
         self.earned[second] += worth
         self.by_class[cls][1] += worth
-        if inside and self.by_tenant:
+        if within_quota and self.by_tenant:
             self.by_tenant[tenant][1] += worth
 
-    def verdict(self, useful: float, done: float, choked: float) -> Verdict:
+    def compute_verdict(self, useful_ms: float, done_ms: float, throttled_share: float) -> Verdict:
         """The day's result; `choked` is the part of the servers that the sticky slowdown met."""
-        goal, prices, bill = self.scenario.goal, self.scenario.prices, self.bill
+        goal, prices, counters = self.scenario.goal, self.scenario.prices, self.counters
         asked, tries = sum(self.asked) or 1.0, max(self.first_tries, 1)
-        whole = sum(self.earned) / asked
-        worst, worst_from = whole, 0
-        for start in range(1, max(2, self.seconds - WINDOW)):
-            part = sum(self.asked[start : start + WINDOW])
-            share = sum(self.earned[start : start + WINDOW]) / part if part else 1.0
-            if share < worst:
-                worst, worst_from = share, start
+        served_share = sum(self.earned) / asked
+        worst_share, worst_from = served_share, 0
+        for start in range(1, max(2, self.seconds - WINDOW_S)):
+            asked_in_window = sum(self.asked[start : start + WINDOW_S])
+            window_share = (
+                sum(self.earned[start : start + WINDOW_S]) / asked_in_window if asked_in_window else 1.0
+            )
+            if window_share < worst_share:
+                worst_share, worst_from = window_share, start
         classes = {c.name: e / a for c, (a, e) in zip(self.scenario.classes, self.by_class, strict=True)}
         tenants = {t.name: e / a for t, (a, e) in zip(self.scenario.tenants, self.by_tenant, strict=True)}
         costs = {
-            "cross_zone": prices.cross_zone * bill.across / tries,
-            "waste": prices.waste * max(0.0, done - useful) / max(bill.asked_work, 1.0),
-            "probe": prices.probe * bill.probes / tries,
-            "peer": prices.peer * bill.peer_bytes / 256 / tries,
-            "late_fail": prices.late_fail * bill.late_lost / asked,
-            "overdriven": self.scenario.choke.price * choked,
+            "cross_zone": prices.cross_zone * counters.cross_zone_attempts / tries,
+            "waste": prices.waste * max(0.0, done_ms - useful_ms) / max(counters.requested_work_ms, 1.0),
+            "probe": prices.probe * counters.probes / tries,
+            "peer": prices.peer * counters.peer_bytes / 256 / tries,
+            "late_fail": prices.late_fail * counters.late_unserved_worth / asked,
+            "overdriven": self.scenario.choke.price * throttled_share,
         }
         g = (
-            goal.whole * whole
-            + goal.worst_window * worst
+            goal.whole * served_share
+            + goal.worst_window * worst_share
             + goal.worst_class * min(classes.values())
-            + goal.worst_tenant * min(tenants.values(), default=whole)
+            + goal.worst_tenant * min(tenants.values(), default=served_share)
             - sum(costs.values())
         )
         return Verdict(
             g=round(g, 6),
-            served=round(whole, 6),
-            worst_window=round(worst, 6),
+            served=round(served_share, 6),
+            worst_window=round(worst_share, 6),
             worst_from=worst_from,
             worst_class=round(min(classes.values()), 6),
-            worst_tenant=round(min(tenants.values(), default=whole), 6),
+            worst_tenant=round(min(tenants.values(), default=served_share), 6),
             classes={name: round(value, 6) for name, value in classes.items()},
             tenants={name: round(value, 6) for name, value in tenants.items()},
             prices={name: round(value, 6) for name, value in costs.items()},
-            breaches=self.broken,
+            breaches=self.breach_count,
         )
--- a/flaxstep/simulator/simulated_node.py
+++ b/flaxstep/simulator/simulated_node.py
@@ -30,10 +30,10 @@
 from flaxstep.simulator.scenario import Scenario
 from flaxstep.simulator.scoring import Scorer
 
-PROBE_TIME = 120.0  # ms after which a probe has failed
+PROBE_TIMEOUT_MS = 120.0  # ms after which a probe has failed
 
 
-class Module(Protocol):
+class RoutingPolicy(Protocol):
     """What the lab needs of a module: `Policy` of any revision, or a baseline."""
 
     def handle(self, now: float, event: Any) -> list[Any]: ...
@@ -43,336 +43,382 @@
 class ClientTry:
     """One try of a client."""
 
-    first: int  # its first try's place among the day's
+    first_try: int  # its first try's place among the day's
     number: int
     cls: int
     tenant: int
     zone: int
-    began: float  # of the first try
+    first_try_at: float  # of the first try
     due: float
     process: SimulatedNode | None = None
-    id: int = 0  # the process's number for it
-    sends: int = 0
-    over: bool = False  # answered or given up, for the client
-    out: dict[int, Attempt] = field(default_factory=dict)
-    maybe_ran: dict[int, tuple[float, Attempt]] = field(default_factory=dict)
+    request_id: int = 0  # the process's number for it
+    attempts_sent: int = 0
+    finished: bool = False  # answered or given up, for the client
+    open_attempts: dict[int, Attempt] = field(default_factory=dict)
+    may_have_run: dict[int, tuple[float, Attempt]] = field(default_factory=dict)
 
 
-class Callers(Protocol):
+class ClientCallbacks(Protocol):
     """What a process tells the clients."""
 
-    def served(self, request: ClientTry) -> None: ...
-    def refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None: ...
-    def failed(self, request: ClientTry) -> None: ...
-    def unreachable(self, request: ClientTry) -> None: ...
-    def cut_off(self, request: ClientTry) -> None: ...
+    def on_served(self, request: ClientTry) -> None: ...
+    def on_refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None: ...
+    def on_failed(self, request: ClientTry) -> None: ...
+    def on_unreachable(self, request: ClientTry) -> None: ...
+    def on_cut_off(self, request: ClientTry) -> None: ...
 
 
-class Lists(Protocol):
+class ListService(Protocol):
     """Discovery, as a process calls it."""
 
-    def call(self, process: SimulatedNode) -> None: ...
+    def request_list(self, process: SimulatedNode) -> None: ...
 
 
-class Datagrams(Protocol):
+class PeerChannel(Protocol):
     """The way to other nodes."""
 
     def send(self, sender: SimulatedNode, peer: int, data: bytes) -> None: ...
 
 
-class Farm(Protocol):
+class SimulationContext(Protocol):
     """What a process meets round it: the day, the servers, the network, and those that it talks to."""
 
     scenario: Scenario
     plan: Plan
     engine: Engine
-    judge: Scorer
-    tally: WorkTotals
+    scorer: Scorer
+    work_totals: WorkTotals
     servers: list[Server]
-    by_id: dict[int, Server]
+    servers_by_id: dict[int, Server]
     logs: list[tuple[float, int, str]]
     # A release counts what nodes see.
     on_attempt: Callable[[SimulatedNode, Attempt, Result, float], None] | None
-    on_answer: Callable[[SimulatedNode, int, int], None] | None
-    client_ms: float
-    dial_ms: float
-    idle_ms: float
+    on_request_finished: Callable[[SimulatedNode, int, int], None] | None
+    client_latency_ms: float
+    dial_timeout_ms: float
+    connection_idle_ms: float
     handshake_rtts: float
-    handshake_work: float
+    handshake_work_ms: float
     cancel_running: bool
 
     @property
-    def clients(self) -> Callers: ...
+    def clients(self) -> ClientCallbacks: ...
     @property
-    def discovery(self) -> Lists: ...
+    def discovery(self) -> ListService: ...
     @property
-    def peers(self) -> Datagrams: ...
+    def peers(self) -> PeerChannel: ...
 
-    def make_policy(self, node: int, seed: int) -> Module: ...
-    def knows(self, event: str) -> bool: ...
-    def one_way(self, zone: int, other: int) -> float: ...
-    def is_cut(self, zone: int, other: int) -> bool: ...
-    def breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None: ...
+    def make_policy(self, node: int, seed: int) -> RoutingPolicy: ...
+    def knows_event(self, event: str) -> bool: ...
+    def one_way_delay(self, zone: int, other: int) -> float: ...
+    def is_partitioned(self, zone: int, other: int) -> bool: ...
+    def record_breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None: ...
 
 
 class SimulatedNode:
     """One process of a node."""
 
-    def __init__(self, world: Farm, node: int, seed: int) -> None:
-        self.world, self.node, self.zone = world, node, world.plan.node_zones[node]
+    def __init__(self, simulation: SimulationContext, node: int, seed: int) -> None:
+        self.simulation, self.node, self.zone = simulation, node, simulation.plan.node_zones[node]
         self.alive, self.stopping = True, False
-        self.held: dict[int, ClientTry] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # out, by request and number
-        self.last_id = 0
+        self.open_requests: dict[int, ClientTry] = {}
+        self.open_attempts: dict[tuple[int, int], Attempt] = {}  # out, by request and number
+        self.last_request_id = 0
         self.subscribed = False
-        self.told: dict[int, tuple[State, float]] = {}  # by server: what it was told last, and when
-        self.cordoned: dict[int, float] = {}  # server: since when
-        self.policy: Module = world.make_policy(node, seed)
-        self.perform: dict[str, Callable[[Any], None]] = {
-            "Send": self.send,
-            "Refuse": self.refuse,
-            "Fail": self.fail,
-            "Cancel": self.cancel,
-            "Wake": self.wake,
-            "Probe": self.probe,
-            "Subscribe": self.subscribe,
-            "Tell": self.tell_peers,
-            "Log": self.log,
+        self.listed_states: dict[int, tuple[State, float]] = {}  # by server: what it was told last, and when
+        self.cordoned_since: dict[int, float] = {}  # server: since when
+        self.policy: RoutingPolicy = simulation.make_policy(node, seed)
+        self.action_handlers: dict[str, Callable[[Any], None]] = {
+            "Send": self.send_attempt,
+            "Refuse": self.refuse_request,
+            "Fail": self.fail_request,
+            "Cancel": self.cancel_attempt,
+            "Wake": self.set_timer,
+            "Probe": self.send_probe,
+            "Subscribe": self.subscribe_to_list,
+            "Tell": self.send_to_peer,
+            "Log": self.append_log,
         }
 
     # Events in, actions out.
 
-    def tell(self, event: Any) -> None:
-        for action in self.policy.handle(self.world.engine.now, event):
-            self.perform[type(action).__name__](action)
+    def dispatch_event(self, event: Any) -> None:
+        for action in self.policy.handle(self.simulation.engine.now, event):
+            self.action_handlers[type(action).__name__](action)
 
-    def tell_alive(self, event: Any) -> None:
+    def dispatch_if_alive(self, event: Any) -> None:
         if self.alive:
-            self.tell(event)
+            self.dispatch_event(event)
 
-    def tell_if_known(self, name: str, *values: Any) -> None:
+    def dispatch_if_known(self, name: str, *values: Any) -> None:
         """An event that older revisions' modules don't know is not for them."""
-        kind = getattr(interface, name, None)
-        if kind is not None and self.alive and self.world.knows(name):
-            self.tell(kind(*values))
+        event_type = getattr(interface, name, None)
+        if event_type is not None and self.alive and self.simulation.knows_event(name):
+            self.dispatch_event(event_type(*values))
 
-    def take(self, request: ClientTry) -> None:
+    def on_request(self, request: ClientTry) -> None:
         """A request has come whole."""
-        world = self.world
+        simulation = self.simulation
         if not self.alive:
-            world.engine.after(world.client_ms, world.clients.unreachable, request)
+            simulation.engine.call_after(
+                simulation.client_latency_ms, simulation.clients.on_unreachable, request
+            )
             return
-        if request.over:
+        if request.finished:
             return
-        self.last_id += 1
-        request.id, request.process = self.last_id, self
-        self.held[request.id] = request
-        due = request.due - world.scenario.margin_ms
-        self.tell(Request(request.id, request.cls, due, 0, request.tenant))
+        self.last_request_id += 1
+        request.request_id, request.process = self.last_request_id, self
+        self.open_requests[request.request_id] = request
+        due = request.due - simulation.scenario.margin_ms
+        self.dispatch_event(Request(request.request_id, request.cls, due, 0, request.tenant))
 
-    def leave(self, request: ClientTry) -> None:
+    def on_client_gone(self, request: ClientTry) -> None:
         """The client has gone, or waits no longer."""
-        if not self.alive or self.held.pop(request.id, None) is None:
+        if not self.alive or self.open_requests.pop(request.request_id, None) is None:
             return
-        world = self.world
-        if world.engine.now > request.due + world.scenario.rules.answer_slack_ms:
-            world.breach("lost request", self.node, request, -1, "no final answer in time")
-        self.tell(Withdrawn(request.id))
+        simulation = self.simulation
+        if simulation.engine.now > request.due + simulation.scenario.rules.answer_slack_ms:
+            simulation.record_breach("lost request", self.node, request, -1, "no final answer in time")
+        self.dispatch_event(Withdrawn(request.request_id))
 
     # Actions.
 
-    def send(self, action: Any) -> None:
-        world, now = self.world, self.world.engine.now
-        request = self.held.get(action.id)
+    def send_attempt(self, action: Any) -> None:
+        simulation, now = self.simulation, self.simulation.engine.now
+        request = self.open_requests.get(action.id)
         if request is None:
             return
-        number, request.sends = request.sends, request.sends + 1
-        if number >= world.scenario.rules.max_attempts:  # moot, as WIRE has it: never sent
-            outcome = Outcome(request.id, action.server, False, Result.NOT_SENT, number, 0.0)
-            world.engine.after(world.scenario.tick_ms, self.tell_alive, outcome)
+        number, request.attempts_sent = request.attempts_sent, request.attempts_sent + 1
+        if number >= simulation.scenario.rules.max_attempts:  # moot, as WIRE has it: never sent
+            outcome = Outcome(request.request_id, action.server, False, Result.NOT_SENT, number, 0.0)
+            simulation.engine.call_after(simulation.scenario.tick_ms, self.dispatch_if_alive, outcome)
             return
-        server = world.by_id[action.server]
-        self.judge_send(request, action.server)
-        first, plan = request.first, world.plan
+        server = simulation.servers_by_id[action.server]
+        self.check_send_rules(request, action.server)
+        first_try, plan = request.first_try, simulation.plan
         noise = plan.noise[request.cls]
-        work = plan.tries.work[first] * noise[(first * 61 + request.number * 17 + number * 5) % len(noise)]
+        work_ms = (
+            plan.tries.work[first_try]
+            * noise[(first_try * 61 + request.number * 17 + number * 5) % len(noise)]
+        )
         attempt = Attempt(
-            self, request.id, number, request.cls, server.plan.number, work, now, server.plan.cell,
+            self, request.request_id, number, request.cls, server.plan.number, work_ms, now, server.plan.cell,
             server.plan.zone,
         )  # fmt: skip
-        request.out[number] = attempt
-        request.maybe_ran[number] = (now, attempt)
-        self.attempts[request.id, number] = attempt
-        bill = world.judge.bill
-        bill.attempts += 1
-        bill.across += server.plan.zone != self.zone
-        limit = request.due - world.scenario.margin_ms - now
+        request.open_attempts[number] = attempt
+        request.may_have_run[number] = (now, attempt)
+        self.open_attempts[request.request_id, number] = attempt
+        counters = simulation.scorer.counters
+        counters.attempts += 1
+        counters.cross_zone_attempts += server.plan.zone != self.zone
+        limit = request.due - simulation.scenario.margin_ms - now
         if action.limit:
             limit = min(limit, action.limit)
-        way = world.one_way(self.zone, server.plan.zone)
-        attempt.limit = now + limit
-        world.engine.at(attempt.limit, self.time_out, attempt)
-        if world.is_cut(self.zone, server.plan.zone):
-            world.engine.after(world.dial_ms, self.ended, attempt, Result.UNREACHABLE)
+        one_way_ms = simulation.one_way_delay(self.zone, server.plan.zone)
+        attempt.times_out_at = now + limit
+        simulation.engine.call_at(attempt.times_out_at, self.on_attempt_timeout, attempt)
+        if simulation.is_partitioned(self.zone, server.plan.zone):
+            simulation.engine.call_after(
+                simulation.dial_timeout_ms, self.on_attempt_outcome, attempt, Result.UNREACHABLE
+            )
             return
         if not server.up:
-            world.engine.after(2 * way, self.ended, attempt, Result.UNREACHABLE)
+            simulation.engine.call_after(2 * one_way_ms, self.on_attempt_outcome, attempt, Result.UNREACHABLE)
             return
-        new = server.connect(self.node, world.idle_ms)
-        if new is None:
-            world.engine.after(2 * way, self.ended, attempt, Result.FULL)
+        is_new_connection = server.acquire_connection(self.node, simulation.connection_idle_ms)
+        if is_new_connection is None:
+            simulation.engine.call_after(2 * one_way_ms, self.on_attempt_outcome, attempt, Result.FULL)
             return
-        if new:
-            way += world.handshake_rtts * 2 * way
-            attempt.work += world.handshake_work
-        world.engine.after(way, server.arrive, attempt)
-
-    def judge_send(self, request: ClientTry, server_id: int) -> None:
-        world, now = self.world, self.world.engine.now
-        rules = world.scenario.rules
-        if request.out:
-            world.breach("second copy", self.node, request, server_id, "an attempt is out already")
-        state, since = self.told.get(server_id, (State.GONE, NEVER))
+        if is_new_connection:
+            one_way_ms += simulation.handshake_rtts * 2 * one_way_ms
+            attempt.work_ms += simulation.handshake_work_ms
+        simulation.engine.call_after(one_way_ms, server.on_arrival, attempt)
+
+    def check_send_rules(self, request: ClientTry, server_id: int) -> None:
+        simulation, now = self.simulation, self.simulation.engine.now
+        rules = simulation.scenario.rules
+        if request.open_attempts:
+            simulation.record_breach(
+                "second copy", self.node, request, server_id, "an attempt is out already"
+            )
+        state, since = self.listed_states.get(server_id, (State.GONE, NEVER))
         if state is not State.READY and now - since > rules.drain_grace_ms:
-            world.breach("drain", self.node, request, server_id, f"{now - since:.0f} ms after it was told")
-        if now > self.cordoned.get(server_id, NEVER):
-            world.breach("cordon", self.node, request, server_id, "taken out by hand")
-        if not request.maybe_ran:
+            simulation.record_breach(
+                "drain", self.node, request, server_id, f"{now - since:.0f} ms after it was told"
+            )
+        if now > self.cordoned_since.get(server_id, NEVER):
+            simulation.record_breach("cordon", self.node, request, server_id, "taken out by hand")
+        if not request.may_have_run:
             return
-        wanted, place = world.scenario.classes[request.cls], world.by_id[server_id].plan
-        if wanted.effect == "safe":
+        request_class, target = (
+            simulation.scenario.classes[request.cls],
+            simulation.servers_by_id[server_id].plan,
+        )
+        if request_class.effect == "safe":
             return
-        for sent, attempt in request.maybe_ran.values():
-            alike = {"all": True, "zone": attempt.zone == place.zone, "cell": attempt.cell == place.cell}
-            if wanted.effect == "unsafe" or now - sent >= wanted.window_ms or not alike[wanted.group]:
-                world.breach("duplicate", self.node, request, server_id, f"{wanted.name} may have run")
+        for sent, attempt in request.may_have_run.values():
+            shares_group = {
+                "all": True,
+                "zone": attempt.zone == target.zone,
+                "cell": attempt.cell == target.cell,
+            }
+            if (
+                request_class.effect == "unsafe"
+                or now - sent >= request_class.window_ms
+                or not shares_group[request_class.group]
+            ):
+                simulation.record_breach(
+                    "duplicate", self.node, request, server_id, f"{request_class.name} may have run"
+                )
                 return
 
-    def refuse(self, action: Any) -> None:
-        request = self.held.pop(action.id, None)
+    def refuse_request(self, action: Any) -> None:
+        request = self.open_requests.pop(action.id, None)
         if request is None:
             return
-        wanted = self.world.scenario.classes[request.cls]
-        harmless = wanted.effect == "safe" or (wanted.effect == "keyed" and wanted.group == "all")
-        if request.maybe_ran and not harmless:
-            self.world.breach("duplicate", self.node, request, -1, "refused though it may have run")
-        self.count(request, 1)
-        self.world.engine.after(self.world.client_ms, self.world.clients.refused, request, action.wait, self)
-
-    def fail(self, action: Any) -> None:
-        request = self.held.pop(action.id, None)
+        request_class = self.simulation.scenario.classes[request.cls]
+        repeat_is_safe = request_class.effect == "safe" or (
+            request_class.effect == "keyed" and request_class.group == "all"
+        )
+        if request.may_have_run and not repeat_is_safe:
+            self.simulation.record_breach(
+                "duplicate", self.node, request, -1, "refused though it may have run"
+            )
+        self.report_request_end(request, 1)
+        self.simulation.engine.call_after(
+            self.simulation.client_latency_ms, self.simulation.clients.on_refused, request, action.wait, self
+        )
+
+    def fail_request(self, action: Any) -> None:
+        request = self.open_requests.pop(action.id, None)
         if request is not None:
-            self.count(request, 2)
-            self.world.engine.after(self.world.client_ms, self.world.clients.failed, request)
+            self.report_request_end(request, 2)
+            self.simulation.engine.call_after(
+                self.simulation.client_latency_ms, self.simulation.clients.on_failed, request
+            )
 
-    def count(self, request: ClientTry, which: int) -> None:
+    def report_request_end(self, request: ClientTry, result_index: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
-        if self.world.on_answer is not None:
-            self.world.on_answer(self, request.cls, which)
-
-    def cancel(self, action: Any) -> None:
-        attempt = self.attempts.get((action.id, action.attempt))
-        if attempt is not None and not attempt.over:
-            self.stop_waiting(attempt, Result.CANCELLED)
-
-    def wake(self, action: Any) -> None:
-        self.world.engine.after(action.delay, self.tell_alive, Timer(action.token))
-
-    def probe(self, action: Any) -> None:
-        world, server = self.world, self.world.by_id[action.server]
-        world.judge.bill.probes += 1
-        way = world.one_way(self.zone, server.plan.zone)
-        cut = world.is_cut(self.zone, server.plan.zone)
-        if cut or not server.up:
-            late = PROBE_TIME if cut else 2 * way
-            world.engine.after(late, self.tell_alive, ProbeResult(action.server, Result.UNREACHABLE, late))
+        if self.simulation.on_request_finished is not None:
+            self.simulation.on_request_finished(self, request.cls, result_index)
+
+    def cancel_attempt(self, action: Any) -> None:
+        attempt = self.open_attempts.get((action.id, action.attempt))
+        if attempt is not None and not attempt.has_outcome:
+            self.abandon_attempt(attempt, Result.CANCELLED)
+
+    def set_timer(self, action: Any) -> None:
+        self.simulation.engine.call_after(action.delay, self.dispatch_if_alive, Timer(action.token))
+
+    def send_probe(self, action: Any) -> None:
+        simulation, server = self.simulation, self.simulation.servers_by_id[action.server]
+        simulation.scorer.counters.probes += 1
+        one_way_ms = simulation.one_way_delay(self.zone, server.plan.zone)
+        partitioned = simulation.is_partitioned(self.zone, server.plan.zone)
+        if partitioned or not server.up:
+            elapsed_ms = PROBE_TIMEOUT_MS if partitioned else 2 * one_way_ms
+            simulation.engine.call_after(
+                elapsed_ms, self.dispatch_if_alive, ProbeResult(action.server, Result.UNREACHABLE, elapsed_ms)
+            )
             return
-        report = (float(server.held),)
-        world.engine.after(2 * way, self.tell_alive, ProbeResult(action.server, Result.OK, 2 * way, report))
+        report = (float(server.requests_held),)
+        simulation.engine.call_after(
+            2 * one_way_ms,
+            self.dispatch_if_alive,
+            ProbeResult(action.server, Result.OK, 2 * one_way_ms, report),
+        )
 
-    def subscribe(self, _: Any) -> None:
-        self.world.discovery.call(self)
+    def subscribe_to_list(self, _: Any) -> None:
+        self.simulation.discovery.request_list(self)
 
-    def tell_peers(self, action: Any) -> None:
-        self.world.peers.send(self, action.peer, action.data)
+    def send_to_peer(self, action: Any) -> None:
+        self.simulation.peers.send(self, action.peer, action.data)
 
-    def log(self, action: Any) -> None:
-        if len(self.world.logs) < 2000:
-            self.world.logs.append((round(self.world.engine.now, 3), self.node, action.text))
+    def append_log(self, action: Any) -> None:
+        if len(self.simulation.logs) < 2000:
+            self.simulation.logs.append((round(self.simulation.engine.now, 3), self.node, action.text))
 
     # Outcomes.
 
-    def time_out(self, attempt: Attempt) -> None:
-        if not attempt.over:
-            self.stop_waiting(attempt, Result.TIMEOUT)
+    def on_attempt_timeout(self, attempt: Attempt) -> None:
+        if not attempt.has_outcome:
+            self.abandon_attempt(attempt, Result.TIMEOUT)
 
-    def stop_waiting(self, attempt: Attempt, result: Result) -> None:
-        server = self.world.servers[attempt.server]
-        server.drop(attempt, self.world.cancel_running)
-        self.ended(attempt, result)
+    def abandon_attempt(self, attempt: Attempt, result: Result) -> None:
+        server = self.simulation.servers[attempt.server]
+        server.abandon_attempt(attempt, self.simulation.cancel_running)
+        self.on_attempt_outcome(attempt, result)
 
-    def ended(self, attempt: Attempt, result: Result) -> None:
+    def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None:
         """An attempt has its outcome, as the node sees it."""
-        if attempt.over:
+        if attempt.has_outcome:
             return
-        attempt.over = True
-        world = self.world
-        self.attempts.pop((attempt.request, attempt.number), None)
-        server = world.servers[attempt.server]
+        attempt.has_outcome = True
+        simulation = self.simulation
+        self.open_attempts.pop((attempt.request_id, attempt.number), None)
+        server = simulation.servers[attempt.server]
         if result is not Result.UNREACHABLE:
-            server.release(self.node, result in (Result.OK, Result.ERROR, Result.FULL))
+            server.release_connection(self.node, result in (Result.OK, Result.ERROR, Result.FULL))
         if not self.alive:
             return
-        request = self.held.get(attempt.request)
+        request = self.open_requests.get(attempt.request_id)
         if request is not None:
-            request.out.pop(attempt.number, None)
+            request.open_attempts.pop(attempt.number, None)
             if result in NEVER_RAN:
-                request.maybe_ran.pop(attempt.number, None)
+                request.may_have_run.pop(attempt.number, None)
             if result is Result.OK:
-                del self.held[attempt.request]
-                world.tally.useful += attempt.work
-                self.count(request, 0)
-                world.engine.after(world.client_ms, world.clients.served, request)
-        elapsed = world.engine.now - attempt.sent
-        if world.on_attempt is not None:
-            world.on_attempt(self, attempt, result, elapsed)
-        over = attempt.request not in self.held
-        self.tell(Outcome(attempt.request, server.id, over, result, attempt.number, elapsed))
+                del self.open_requests[attempt.request_id]
+                simulation.work_totals.useful_ms += attempt.work_ms
+                self.report_request_end(request, 0)
+                simulation.engine.call_after(
+                    simulation.client_latency_ms, simulation.clients.on_served, request
+                )
+        elapsed = simulation.engine.now - attempt.sent_at
+        if simulation.on_attempt is not None:
+            simulation.on_attempt(self, attempt, result, elapsed)
+        request_over = attempt.request_id not in self.open_requests
+        self.dispatch_event(
+            Outcome(attempt.request_id, server.id, request_over, result, attempt.number, elapsed)
+        )
 
     # Lists, operators and the end.
 
-    def list(self, kind: ListKind, version: int, entries: list[ServerEntry]) -> None:
+    def on_server_list(self, kind: ListKind, version: int, entries: list[ServerEntry]) -> None:
         if not self.alive:
             return
-        now = self.world.engine.now
+        now = self.simulation.engine.now
         if kind is ListKind.FULL:
-            named = {entry.id for entry in entries}
-            for gone in [i for i, (state, _) in self.told.items() if state is State.READY and i not in named]:
-                self.told[gone] = State.GONE, now
+            listed_ids = {entry.id for entry in entries}
+            for missing in [
+                i
+                for i, (state, _) in self.listed_states.items()
+                if state is State.READY and i not in listed_ids
+            ]:
+                self.listed_states[missing] = State.GONE, now
         for entry in entries:
-            if self.told.get(entry.id, (None, 0.0))[0] is not entry.state:
-                self.told[entry.id] = entry.state, now
-        self.tell(ServerList(kind, version, entries))
+            if self.listed_states.get(entry.id, (None, 0.0))[0] is not entry.state:
+                self.listed_states[entry.id] = entry.state, now
+        self.dispatch_event(ServerList(kind, version, entries))
 
     def cordon(self, server: int) -> None:
         if self.alive:
-            if self.world.knows("Cordon"):
-                self.cordoned[server] = self.world.engine.now
-            self.tell_if_known("Cordon", server)
+            if self.simulation.knows_event("Cordon"):
+                self.cordoned_since[server] = self.simulation.engine.now
+            self.dispatch_if_known("Cordon", server)
 
     def uncordon(self, server: int) -> None:
         if self.alive:
-            self.cordoned.pop(server, None)
-            self.tell_if_known("Uncordon", server, self.world.engine.now)
+            self.cordoned_since.pop(server, None)
+            self.dispatch_if_known("Uncordon", server, self.simulation.engine.now)
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """Killed: clients see their connections reset, job servers see them closed."""
         self.alive = False
-        world = self.world
-        for attempt in self.attempts.values():
-            attempt.over = True
-            world.servers[attempt.server].drop(attempt, world.cancel_running)
-        self.attempts.clear()
-        for request in self.held.values():
-            world.engine.after(world.client_ms, world.clients.cut_off, request)
-        self.held.clear()
+        simulation = self.simulation
+        for attempt in self.open_attempts.values():
+            attempt.has_outcome = True
+            simulation.servers[attempt.server].abandon_attempt(attempt, simulation.cancel_running)
+        self.open_attempts.clear()
+        for request in self.open_requests.values():
+            simulation.engine.call_after(simulation.client_latency_ms, simulation.clients.on_cut_off, request)
+        self.open_requests.clear()
--- a/flaxstep/simulator/simulation.py
+++ b/flaxstep/simulator/simulation.py
@@ -18,17 +18,17 @@
     Settings,
     State,
 )
-from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import TICK, Attempt, Server, WorkTotals
+from flaxstep.simulator.engine import Engine, RandomStreams
+from flaxstep.simulator.job_servers import UPDATE_INTERVAL_MS, Attempt, Server, WorkTotals
 from flaxstep.simulator.sampling import Happening, Plan, draw_plan
 from flaxstep.simulator.scenario import Scenario
 from flaxstep.simulator.scoring import Breach, Scorer, Verdict
-from flaxstep.simulator.simulated_node import ClientTry, Module, SimulatedNode
+from flaxstep.simulator.simulated_node import ClientTry, RoutingPolicy, SimulatedNode
 
-LOOK = 250.0  # ms between samples of what nodes believe and what is true
-AFTER = 3000.0  # ms for which a day runs on, until all is answered
-ALL = 0xFFFF  # every peer
-MakePolicy = Callable[[Settings, int], Module]
+SAMPLE_INTERVAL_MS = 250.0  # ms between samples of what nodes believe and what is true
+RUN_ON_MS = 3000.0  # ms for which a day runs on, until all is answered
+ALL_PEERS = 0xFFFF  # every peer
+PolicyFactory = Callable[[Settings, int], RoutingPolicy]
 
 
 class Sample(msgspec.Struct, frozen=True):
@@ -76,293 +76,329 @@
     logs: list[tuple[float, int, str]]
 
 
-class Front:
+class FrontBalancer:
     """Deals tries out over the nodes of a zone that it thinks are there."""
 
-    def __init__(self, world: Simulation) -> None:
-        self.world = world
-        self.believed = [True] * len(world.plan.node_zones)
-        self.by_zone: dict[int, list[int]] = {}
-        self.settle()
-
-    def settle(self) -> None:
-        zones = self.world.plan.node_zones
-        self.by_zone = {z: [] for z in range(self.world.scenario.fleet.zones)}
-        self.anywhere = [i for i, there in enumerate(self.believed) if there]
-        for i in self.anywhere:
-            self.by_zone[zones[i]].append(i)
-
-    def learn(self, node: int, there: bool) -> None:
-        if self.believed[node] != there:
-            self.believed[node] = there
-            self.settle()
-
-    def pick(self, request: ClientTry) -> SimulatedNode | None:
-        nodes = self.by_zone[request.zone] or self.anywhere
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.believed_up = [True] * len(simulation.plan.node_zones)
+        self.nodes_by_zone: dict[int, list[int]] = {}
+        self.rebuild_targets()
+
+    def rebuild_targets(self) -> None:
+        zones = self.simulation.plan.node_zones
+        self.nodes_by_zone = {z: [] for z in range(self.simulation.scenario.fleet.zones)}
+        self.nodes_up = [i for i, is_up in enumerate(self.believed_up) if is_up]
+        for i in self.nodes_up:
+            self.nodes_by_zone[zones[i]].append(i)
+
+    def set_node_up(self, node: int, is_up: bool) -> None:
+        if self.believed_up[node] != is_up:
+            self.believed_up[node] = is_up
+            self.rebuild_targets()
+
+    def pick_process(self, request: ClientTry) -> SimulatedNode | None:
+        nodes = self.nodes_by_zone[request.zone] or self.nodes_up
         if not nodes:
             return None
         # By its place in the day, so that two policies meet the same traffic.
-        mixed = (request.first * 2654435761 + request.number * 40503) >> 7
-        processes = [p for p in self.world.processes[nodes[mixed % len(nodes)]] if not p.stopping]
-        return processes[mixed % len(processes)] if processes else None
+        spread = (request.first_try * 2654435761 + request.number * 40503) >> 7
+        processes = [p for p in self.simulation.processes[nodes[spread % len(nodes)]] if not p.stopping]
+        return processes[spread % len(processes)] if processes else None
 
 
 class Clients:
     """Sends the day's first tries, open loop, and tries again as clients do."""
 
-    def __init__(self, world: Simulation) -> None:
-        self.world = world
-        figures = world.plan.figures
-        self.share, self.backoff = figures["clients.try_share"], figures["clients.backoff_ms"]
-        self.retries, self.honour = figures["clients.retries"], figures["clients.honour"]
-        self.next = 0
-        self.levels = [0.0] * len(world.plan.quotas)  # buckets of the tenants' shares, 1 s deep
-        self.levels_at = [0.0] * len(world.plan.quotas)
-        self.inside: dict[int, bool] = {}
-        none = [0] * len(world.scenario.classes)
-        self.counts = Outcomes(*(none[:] for _ in range(6)))
-
-    def schedule(self) -> None:
-        tries = self.world.plan.tries
-        if self.next < len(tries.at):
-            self.world.engine.at(tries.at[self.next], self.first)
-
-    def first(self) -> None:
-        i, tries, world = self.next, self.world.plan.tries, self.world
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        figures = simulation.plan.figures
+        self.try_share, self.backoff_ms = figures["clients.try_share"], figures["clients.backoff_ms"]
+        self.max_retries, self.honour_share = figures["clients.retries"], figures["clients.honour"]
+        self.next_first_try = 0
+        self.bucket_levels = [0.0] * len(simulation.plan.quotas)  # buckets of the tenants' shares, 1 s deep
+        self.bucket_updated_at = [0.0] * len(simulation.plan.quotas)
+        self.within_quota: dict[int, bool] = {}
+        none = [0] * len(simulation.scenario.classes)
+        self.outcomes = Outcomes(*(none[:] for _ in range(6)))
+
+    def schedule_first_try(self) -> None:
+        tries = self.simulation.plan.tries
+        if self.next_first_try < len(tries.at):
+            self.simulation.engine.call_at(tries.at[self.next_first_try], self.send_first_try)
+
+    def send_first_try(self) -> None:
+        i, tries, simulation = self.next_first_try, self.simulation.plan.tries, self.simulation
         if i == len(tries.at):  # stopped meanwhile
             return
-        self.next += 1
-        self.schedule()
-        cls, tenant, now = tries.cls[i], tries.tenant[i], world.engine.now
-        inside = True
-        if self.levels:
-            leaked = self.levels[tenant] - (now - self.levels_at[tenant]) / 1000 * world.plan.quotas[tenant]
-            self.levels[tenant], self.levels_at[tenant] = max(0.0, leaked), now
-            inside = self.levels[tenant] <= world.plan.quotas[tenant]
-            self.levels[tenant] += inside
-        self.inside[i] = inside
-        world.judge.ask(int(now / 1000), cls, tenant, self.worth(i), inside)
-        world.judge.bill.asked_work += tries.work[i]
-        self.begin(i, 0, now)
-
-    def stop(self) -> None:
+        self.next_first_try += 1
+        self.schedule_first_try()
+        cls, tenant, now = tries.cls[i], tries.tenant[i], simulation.engine.now
+        within_quota = True
+        if self.bucket_levels:
+            leaked = (
+                self.bucket_levels[tenant]
+                - (now - self.bucket_updated_at[tenant]) / 1000 * simulation.plan.quotas[tenant]
+            )
+            self.bucket_levels[tenant], self.bucket_updated_at[tenant] = max(0.0, leaked), now
+            within_quota = self.bucket_levels[tenant] <= simulation.plan.quotas[tenant]
+            self.bucket_levels[tenant] += within_quota
+        self.within_quota[i] = within_quota
+        simulation.scorer.record_request(int(now / 1000), cls, tenant, self.worth_of(i), within_quota)
+        simulation.scorer.counters.requested_work_ms += tries.work[i]
+        self.begin_try(i, 0, now)
+
+    def stop_first_tries(self) -> None:
         """No further first tries."""
-        self.next = len(self.world.plan.tries.at)
-
-    def worth(self, i: int) -> float:
-        scenario = self.world.scenario
-        part = 1.0 if self.inside[i] else scenario.load.over_share_worth
-        return part * scenario.classes[self.world.plan.tries.cls[i]].worth
-
-    def begin(self, i: int, number: int, began: float) -> None:
-        world, tries = self.world, self.world.plan.tries
-        wanted, now = world.scenario.classes[tries.cls[i]], world.engine.now
-        due = min(now + self.share * wanted.deadline_ms, began + wanted.deadline_ms)
-        request = ClientTry(i, number, tries.cls[i], tries.tenant[i], tries.zone[i], began, due)
-        world.judge.tries += 1
-        world.engine.at(due, self.give_up, request)
-        process = world.front.pick(request)
+        self.next_first_try = len(self.simulation.plan.tries.at)
+
+    def worth_of(self, i: int) -> float:
+        scenario = self.simulation.scenario
+        part = 1.0 if self.within_quota[i] else scenario.load.over_share_worth
+        return part * scenario.classes[self.simulation.plan.tries.cls[i]].worth
+
+    def begin_try(self, i: int, number: int, first_try_at: float) -> None:
+        simulation, tries = self.simulation, self.simulation.plan.tries
+        request_class, now = simulation.scenario.classes[tries.cls[i]], simulation.engine.now
+        due = min(now + self.try_share * request_class.deadline_ms, first_try_at + request_class.deadline_ms)
+        request = ClientTry(i, number, tries.cls[i], tries.tenant[i], tries.zone[i], first_try_at, due)
+        simulation.scorer.tries += 1
+        simulation.engine.call_at(due, self.on_try_timeout, request)
+        process = simulation.front.pick_process(request)
         if process is None:
-            world.engine.after(world.client_ms, self.unreachable, request)
+            simulation.engine.call_after(simulation.client_latency_ms, self.on_unreachable, request)
         else:
-            world.engine.after(world.client_ms, process.take, request)
+            simulation.engine.call_after(simulation.client_latency_ms, process.on_request, request)
 
-    def give_up(self, request: ClientTry) -> None:
-        if request.over:
+    def on_try_timeout(self, request: ClientTry) -> None:
+        if request.finished:
             return
-        request.over = True
-        self.counts.given_up[request.cls] += 1
-        world = self.world
+        request.finished = True
+        self.outcomes.given_up[request.cls] += 1
+        simulation = self.simulation
         if request.process is not None:
-            slack = world.scenario.rules.answer_slack_ms
-            world.engine.after(slack + 2 * world.client_ms, request.process.leave, request)
-        self.lose(request)
+            slack = simulation.scenario.rules.answer_slack_ms
+            simulation.engine.call_after(
+                slack + 2 * simulation.client_latency_ms, request.process.on_client_gone, request
+            )
+        self.record_unserved(request)
 
-    def served(self, request: ClientTry) -> None:
-        if request.over:
+    def on_served(self, request: ClientTry) -> None:
+        if request.finished:
             return
-        request.over = True
-        world, i = self.world, request.first
-        wanted, now = world.scenario.classes[request.cls], world.engine.now
-        took = now - request.began
-        part = 1.0 if took <= wanted.aim_ms else wanted.late_worth if took <= wanted.deadline_ms else 0.0
-        (self.counts.in_time if took <= wanted.aim_ms else self.counts.late)[request.cls] += 1
-        second, inside = int(request.began / 1000), self.inside.pop(i)
-        worth = wanted.worth * (1.0 if inside else world.scenario.load.over_share_worth)
-        world.judge.earn(second, request.cls, request.tenant, part * worth, inside)
-
-    def refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None:
-        if request.over:
+        request.finished = True
+        simulation, i = self.simulation, request.first_try
+        request_class, now = simulation.scenario.classes[request.cls], simulation.engine.now
+        elapsed_ms = now - request.first_try_at
+        part = (
+            1.0
+            if elapsed_ms <= request_class.aim_ms
+            else request_class.late_worth
+            if elapsed_ms <= request_class.deadline_ms
+            else 0.0
+        )
+        (self.outcomes.in_time if elapsed_ms <= request_class.aim_ms else self.outcomes.late)[
+            request.cls
+        ] += 1
+        second, within_quota = int(request.first_try_at / 1000), self.within_quota.pop(i)
+        worth = request_class.worth * (1.0 if within_quota else simulation.scenario.load.over_share_worth)
+        simulation.scorer.record_served(second, request.cls, request.tenant, part * worth, within_quota)
+
+    def on_refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None:
+        if request.finished:
             return
-        world = self.world
-        self.counts.refused[request.cls] += 1
-        world.judge.refused[min(int(world.engine.now / 1000), world.seconds - 1)] += 1
-        heeds = world.honours(request.first, self.honour)
-        self.again(request, max(self.backoff, wait) if heeds else self.backoff)
+        simulation = self.simulation
+        self.outcomes.refused[request.cls] += 1
+        simulation.scorer.refused[min(int(simulation.engine.now / 1000), simulation.seconds - 1)] += 1
+        honours_header = simulation.honours_retry_after(request.first_try, self.honour_share)
+        self.schedule_retry(request, max(self.backoff_ms, wait) if honours_header else self.backoff_ms)
 
-    def failed(self, request: ClientTry) -> None:
+    def on_failed(self, request: ClientTry) -> None:
         """Clients try a failed request again only where a repeat does no harm."""
-        if request.over:
+        if request.finished:
             return
-        world, wanted = self.world, self.world.scenario.classes[request.cls]
-        self.counts.failed[request.cls] += 1
-        world.judge.failed[min(int(world.engine.now / 1000), world.seconds - 1)] += 1
-        if wanted.effect == "safe" or (wanted.effect == "keyed" and wanted.group == "all"):
-            self.again(request, self.backoff)
+        simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
+        self.outcomes.failed[request.cls] += 1
+        simulation.scorer.failed[min(int(simulation.engine.now / 1000), simulation.seconds - 1)] += 1
+        if request_class.effect == "safe" or (
+            request_class.effect == "keyed" and request_class.group == "all"
+        ):
+            self.schedule_retry(request, self.backoff_ms)
         else:
-            request.over = True
-            self.lose(request)
+            request.finished = True
+            self.record_unserved(request)
 
-    def unreachable(self, request: ClientTry) -> None:
-        if not request.over:
-            self.again(request, self.backoff)
+    def on_unreachable(self, request: ClientTry) -> None:
+        if not request.finished:
+            self.schedule_retry(request, self.backoff_ms)
 
-    cut_off = failed
+    on_cut_off = on_failed
 
-    def again(self, request: ClientTry, wait: float) -> None:
+    def schedule_retry(self, request: ClientTry, wait: float) -> None:
         """The next try of a client whose last one proves that it never ran."""
-        world, wanted = self.world, self.world.scenario.classes[request.cls]
-        request.over = True
+        simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
+        request.finished = True
         if (
-            request.number < int(self.retries)
-            and world.engine.now + wait < request.began + wanted.deadline_ms
+            request.number < int(self.max_retries)
+            and simulation.engine.now + wait < request.first_try_at + request_class.deadline_ms
         ):
-            world.engine.after(wait, self.begin, request.first, request.number + 1, request.began)
+            simulation.engine.call_after(
+                wait, self.begin_try, request.first_try, request.number + 1, request.first_try_at
+            )
         else:
-            self.lose(request)
+            self.record_unserved(request)
 
-    def lose(self, request: ClientTry) -> None:
-        world, wanted = self.world, self.world.scenario.classes[request.cls]
-        self.counts.unserved[request.cls] += 1
-        if world.engine.now > request.began + wanted.aim_ms:
-            world.judge.bill.late_lost += self.worth(request.first)
-        self.inside.pop(request.first, None)
+    def record_unserved(self, request: ClientTry) -> None:
+        simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
+        self.outcomes.unserved[request.cls] += 1
+        if simulation.engine.now > request.first_try_at + request_class.aim_ms:
+            simulation.scorer.counters.late_unserved_worth += self.worth_of(request.first_try)
+        self.within_quota.pop(request.first_try, None)
 
 
 class Discovery:
     """The server list: late, and one service for all nodes."""
 
-    def __init__(self, world: Simulation) -> None:
-        self.world = world
-        self.chance = world.streams.chance("discovery")
-        self.figures = world.plan.figures
-        self.entries: dict[int, ServerEntry] = {s.id: self.entry(s) for s in world.servers}
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.uniform = simulation.streams.uniform("discovery")
+        self.figures = simulation.plan.figures
+        self.entries: dict[int, ServerEntry] = {s.id: self.make_entry(s) for s in simulation.servers}
         self.version = 1
-        self.watching: list[SimulatedNode] = []
-        self.free = [0.0] * max(1, int(self.figures["discovery.capacity"]))  # when each of its hands is free
+        self.watchers: list[SimulatedNode] = []
+        self.worker_free_at = [0.0] * max(
+            1, int(self.figures["discovery.capacity"])
+        )  # when each of its hands is free
 
     @staticmethod
-    def entry(server: Server, state: State | None = None) -> ServerEntry:
+    def make_entry(server: Server, state: State | None = None) -> ServerEntry:
         plan = server.plan
         return ServerEntry(
-            server.id, plan.zone, plan.kind, plan.cell, state or server.state, 1.0, server.started
+            server.id, plan.zone, plan.kind, plan.cell, state or server.state, 1.0, server.started_at
         )
 
-    def call(self, process: SimulatedNode) -> None:
+    def request_list(self, process: SimulatedNode) -> None:
         """A node asks for the list and its changes."""
-        engine, listing = self.world.engine, self.world.scenario.discovery
-        hand = min(range(len(self.free)), key=self.free.__getitem__)
-        begins = max(self.free[hand], engine.now)
-        if begins - engine.now > listing.timeout_ms:
-            engine.after(listing.timeout_ms, process.list, ListKind.FAILED, self.version, [])
+        engine, listing = self.simulation.engine, self.simulation.scenario.discovery
+        worker = min(range(len(self.worker_free_at)), key=self.worker_free_at.__getitem__)
+        starts_at = max(self.worker_free_at[worker], engine.now)
+        if starts_at - engine.now > listing.timeout_ms:
+            engine.call_after(listing.timeout_ms, process.on_server_list, ListKind.FAILED, self.version, [])
             return
-        self.free[hand] = begins + self.figures["discovery.call_ms"]
-        engine.at(self.free[hand], self.answer, process)
+        self.worker_free_at[worker] = starts_at + self.figures["discovery.call_ms"]
+        engine.call_at(self.worker_free_at[worker], self.send_full_list, process)
 
-    def answer(self, process: SimulatedNode) -> None:
+    def send_full_list(self, process: SimulatedNode) -> None:
         if process.alive:
-            if process not in self.watching:
-                self.watching.append(process)
-            process.list(ListKind.FULL, self.version, list(self.entries.values()))
+            if process not in self.watchers:
+                self.watchers.append(process)
+            process.on_server_list(ListKind.FULL, self.version, list(self.entries.values()))
 
-    def hear(self, server: Server, state: State, late: float) -> None:
+    def schedule_update(self, server: Server, state: State, delay_ms: float) -> None:
         """Something has become of a server's process; discovery notices later."""
-        self.world.engine.after(late, self.notice, self.entry(server, state))
+        self.simulation.engine.call_after(delay_ms, self.publish_update, self.make_entry(server, state))
 
-    def notice(self, entry: ServerEntry) -> None:
+    def publish_update(self, entry: ServerEntry) -> None:
         self.version += 1
         if entry.state is State.GONE:
             self.entries.pop(entry.id, None)
         else:
             self.entries[entry.id] = entry
-        self.watching = [process for process in self.watching if process.alive]
-        for process in self.watching:
-            delay = self.figures["discovery.spread_ms"] * self.chance()
-            self.world.engine.after(delay, process.list, ListKind.DELTA, self.version, [entry])
+        self.watchers = [process for process in self.watchers if process.alive]
+        for process in self.watchers:
+            delay = self.figures["discovery.spread_ms"] * self.uniform()
+            self.simulation.engine.call_after(
+                delay, process.on_server_list, ListKind.DELTA, self.version, [entry]
+            )
 
 
-class Peers:
+class PeerNetwork:
     """Datagrams between nodes, late or lost."""
 
-    def __init__(self, world: Simulation) -> None:
-        self.world = world
-        self.chance = world.streams.chance("peers")
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.uniform = simulation.streams.uniform("peers")
 
     def send(self, sender: SimulatedNode, peer: int, data: bytes) -> None:
-        world, peers = self.world, self.world.scenario.peers
+        simulation, peers = self.simulation, self.simulation.scenario.peers
         if len(data) > 256:
             raise ValueError(f"a datagram of {len(data)} bytes")
-        targets = range(len(world.processes)) if peer == ALL else (peer,)
+        targets = range(len(simulation.processes)) if peer == ALL_PEERS else (peer,)
         for target in targets:
-            if target == sender.node and peer == ALL:
+            if target == sender.node and peer == ALL_PEERS:
                 continue
-            lost = self.chance() < peers.lost
-            late = self.chance.between(*peers.delay_ms)
-            if lost or world.is_cut(sender.zone, world.plan.node_zones[target]):
+            lost = self.uniform() < peers.lost
+            delay_ms = self.uniform.between(*peers.delay_ms)
+            if lost or simulation.is_partitioned(sender.zone, simulation.plan.node_zones[target]):
                 continue
-            world.judge.bill.peer_bytes += len(data)
-            for process in world.processes[target]:
-                world.engine.after(late, process.tell_alive, PeerMessage(sender.node, data))
+            simulation.scorer.counters.peer_bytes += len(data)
+            for process in simulation.processes[target]:
+                simulation.engine.call_after(
+                    delay_ms, process.dispatch_if_alive, PeerMessage(sender.node, data)
+                )
 
 
 class Simulation:
     """A day of the farm, ready to be played once."""
 
-    def __init__(self, scenario: Scenario, seed: int, make: MakePolicy, knows: Callable[[str], bool]) -> None:
-        self.scenario, self.make, self._knows = scenario, make, knows
+    def __init__(
+        self, scenario: Scenario, seed: int, policy_factory: PolicyFactory, knows_event: Callable[[str], bool]
+    ) -> None:
+        self.scenario, self.policy_factory, self._knows_event = scenario, policy_factory, knows_event
         self.plan: Plan = draw_plan(scenario, seed)
-        self.engine, self.streams = Engine(), Streams(seed)
+        self.engine, self.streams = Engine(), RandomStreams(seed)
         plan, figures = self.plan, self.plan.figures
         self.seconds = int(plan.length / 1000) + 1
-        self.judge, self.tally = Scorer(scenario, self.seconds), WorkTotals()
-        self.client_ms = figures["net.client_ms"]
-        self.dial_ms, self.idle_ms = scenario.conn.dial_timeout_ms, 1000.0 * scenario.conn.idle_s
+        self.scorer, self.work_totals = Scorer(scenario, self.seconds), WorkTotals()
+        self.client_latency_ms = figures["net.client_ms"]
+        self.dial_timeout_ms, self.connection_idle_ms = (
+            scenario.conn.dial_timeout_ms,
+            1000.0 * scenario.conn.idle_s,
+        )
         self.handshake_rtts = figures["conn.handshake_rtts"]
-        self.handshake_work = figures["conn.handshake_us"] / 1000
+        self.handshake_work_ms = figures["conn.handshake_us"] / 1000
         self.cancel_running = bool(figures["cancel_running"])
-        self.jitter = self.streams.chance("jitter")
-        self.cut: set[int] = set()  # zones cut off from the others
-        self.mean_work = sum(plan.tries.work) / max(1, len(plan.tries.work))
+        self.uniform_jitter = self.streams.uniform("jitter")
+        self.partitioned_zones: set[int] = set()  # zones cut off from the others
+        self.mean_work_ms = sum(plan.tries.work) / max(1, len(plan.tries.work))
         self.logs: list[tuple[float, int, str]] = []
         self.on_attempt: Callable[[SimulatedNode, Attempt, Result, float], None] | None = None
-        self.on_answer: Callable[[SimulatedNode, int, int], None] | None = None
+        self.on_request_finished: Callable[[SimulatedNode, int, int], None] | None = None
         self.samples: list[Sample] = []
         self.happened: list[tuple[str, float, float]] = []
         rules = scenario.rules
-        tip = (rules.tip_multiple, rules.tip_ms, rules.ramp_ms)
-        faults = self.streams.chance("faults")
+        crash_limits = (rules.tip_multiple, rules.tip_ms, rules.ramp_ms)
+        faults = self.streams.uniform("faults")
         self.servers = [
-            Server(self.engine, line, plan.choke, tip, self.tally, faults, self.answer)
-            for line in plan.servers
+            Server(
+                self.engine,
+                server_plan,
+                plan.choke,
+                crash_limits,
+                self.work_totals,
+                faults,
+                self.deliver_result,
+            )
+            for server_plan in plan.servers
         ]
-        numbers = self.streams.generator("ids").choice(1 << 31, len(self.servers), replace=False).tolist()
-        for server, number in zip(self.servers, numbers, strict=True):
+        ids = self.streams.generator("ids").choice(1 << 31, len(self.servers), replace=False).tolist()
+        for server, number in zip(self.servers, ids, strict=True):
             server.id = number
-        self.by_id = {server.id: server for server in self.servers}
-        self.discovery, self.peers = Discovery(self), Peers(self)
+        self.servers_by_id = {server.id: server for server in self.servers}
+        self.discovery, self.peers = Discovery(self), PeerNetwork(self)
         seeds = self.streams.generator("nodes")
         self.seeds = [int(x) for x in seeds.integers(1 << 62, size=64 * len(plan.node_zones))]
         self.processes: list[list[SimulatedNode]] = [[] for _ in plan.node_zones]
-        self.front, self.clients = Front(self), Clients(self)
+        self.front, self.clients = FrontBalancer(self), Clients(self)
         for node in range(len(self.processes)):
-            self.start(node)
+            self.start_process(node)
 
     # What the parts need of each other.
 
-    def settings(self, node: int) -> Settings:
+    def policy_settings(self, node: int) -> Settings:
         """What the module is told, as the platform would."""
         scenario, rules = self.scenario, self.scenario.rules
-        known: dict[str, Any] = {
+        values: dict[str, Any] = {
             "classes": tuple(
                 RequestClass(
                     aim=c.aim_ms,
@@ -393,141 +429,153 @@
             "probes": True,
         }
         names = Settings.__dataclass_fields__
-        return Settings(**{name: value for name, value in known.items() if name in names})
+        return Settings(**{name: value for name, value in values.items() if name in names})
 
-    def knows(self, event: str) -> bool:
+    def knows_event(self, event: str) -> bool:
         """Whether the module that plays knows an event."""
-        return self._knows(event)
+        return self._knows_event(event)
 
-    def make_policy(self, node: int, seed: int) -> Module:
-        policy = self.make(self.settings(node), seed)
+    def make_policy(self, node: int, seed: int) -> RoutingPolicy:
+        policy = self.policy_factory(self.policy_settings(node), seed)
         if hasattr(policy, "view"):
             policy.view = self
         return policy
 
-    def expected(self) -> dict[int, tuple[float, float, float]]:
+    def true_state(self) -> dict[int, tuple[float, float, float]]:
         """The true state, for the baseline that sees: held, cores, ms for a request of mean work alone."""
         return {
-            s.id: (s.held, s.plan.cores, self.mean_work * s.plan.cores / max(self.capacity_of(s), 1e-9))
+            s.id: (
+                s.requests_held,
+                s.plan.cores,
+                self.mean_work_ms * s.plan.cores / max(self.current_capacity(s), 1e-9),
+            )
             for s in self.servers
         }
 
     @staticmethod
-    def capacity_of(server: Server) -> float:
+    def current_capacity(server: Server) -> float:
         """ms of standard work a ms that a server can do as it is now."""
         if not server.up or server.paused:
             return 0.0
-        slower = server.choke.slower if server.choked else 1.0
-        return server.capacity * server.warmth() * (1.0 - server.taken) / server.slow / slower
+        slower = server.throttling.slower if server.is_throttled else 1.0
+        return server.capacity * server.warm_share() * (1.0 - server.taken) / server.slow / slower
 
-    def one_way(self, zone: int, other: int) -> float:
+    def one_way_delay(self, zone: int, other: int) -> float:
         figures = self.plan.figures
-        way = figures["net.same_ms" if zone == other else "net.cross_ms"]
-        return way * (1.0 + figures["net.jitter"] * (2.0 * self.jitter() - 1.0))
-
-    def is_cut(self, zone: int, other: int) -> bool:
-        return bool(self.cut) and zone != other and (zone in self.cut or other in self.cut)
+        one_way_ms = figures["net.same_ms" if zone == other else "net.cross_ms"]
+        return one_way_ms * (1.0 + figures["net.jitter"] * (2.0 * self.uniform_jitter() - 1.0))
+
+    def is_partitioned(self, zone: int, other: int) -> bool:
+        return (
+            bool(self.partitioned_zones)
+            and zone != other
+            and (zone in self.partitioned_zones or other in self.partitioned_zones)
+        )
 
-    def answer(self, attempt: Attempt, result: Result) -> None:
+    def deliver_result(self, attempt: Attempt, result: Result) -> None:
         """A server has answered, or its connection broke."""
         owner, plan = attempt.owner, self.servers[attempt.server].plan
-        way = self.one_way(owner.zone, plan.zone)
-        if not self.is_cut(owner.zone, plan.zone):
-            self.engine.after(way, owner.ended, attempt, result)
+        one_way_ms = self.one_way_delay(owner.zone, plan.zone)
+        if not self.is_partitioned(owner.zone, plan.zone):
+            self.engine.call_after(one_way_ms, owner.on_attempt_outcome, attempt, result)
 
-    def honours(self, first: int, part: float) -> bool:
+    def honours_retry_after(self, first_try: int, part: float) -> bool:
         """Whether the client of a first try heeds Retry-After; the same under any policy."""
-        return (first * 2246822519 >> 5) % 1000 < 1000 * part
+        return (first_try * 2246822519 >> 5) % 1000 < 1000 * part
 
-    def breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None:
-        self.judge.breach(rule, self.engine.now, node, request.id, server, what)
+    def record_breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None:
+        self.scorer.record_breach(rule, self.engine.now, node, request.request_id, server, what)
 
     # Processes of nodes.
 
-    def start(self, node: int) -> SimulatedNode:
+    def start_process(self, node: int) -> SimulatedNode:
         """A process of a node starts with the list as it stood long ago, and asks for it."""
         process = SimulatedNode(
             self, node, self.seeds[len(self.processes[node]) + 61 * node % len(self.seeds)]
         )
         self.processes[node].append(process)
-        process.list(ListKind.CACHED, 1, list(self.discovery.entries.values()))
+        process.on_server_list(ListKind.CACHED, 1, list(self.discovery.entries.values()))
         return process
 
-    def end(self, process: SimulatedNode) -> None:
-        process.die()
+    def end_process(self, process: SimulatedNode) -> None:
+        process.kill()
         if process in self.processes[process.node]:
             self.processes[process.node].remove(process)
 
     # The day.
 
-    def play(self, begin: Callable[[Happening], None]) -> None:
-        """From the first try to the last answer; `begin` makes what goes wrong, or is done, happen."""
+    def run(self, start_happening: Callable[[Happening], None]) -> None:
+        """Runs from the first try to the last response; `start_happening` starts each trouble or act."""
         for happening in self.plan.acts + self.plan.troubles:
-            self.engine.at(happening.at, self.note, happening)
-            self.engine.at(happening.at, begin, happening)
+            self.engine.call_at(happening.at, self.record_happening, happening)
+            self.engine.call_at(happening.at, start_happening, happening)
         for i, server in enumerate(self.servers):
-            self.engine.at(TICK * (i + 1) / len(self.servers), self.look_at, server)
-        self.engine.at(0.0, self.sample)
-        self.clients.schedule()
-        self.engine.run(self.plan.length + AFTER)
+            self.engine.call_at(UPDATE_INTERVAL_MS * (i + 1) / len(self.servers), self.update_server, server)
+        self.engine.call_at(0.0, self.take_sample)
+        self.clients.schedule_first_try()
+        self.engine.run(self.plan.length + RUN_ON_MS)
         for server in self.servers:
-            server.advance()
+            server.advance_work()
 
-    def look_at(self, server: Server) -> None:
-        server.look()
-        self.engine.after(TICK, self.look_at, server)
+    def update_server(self, server: Server) -> None:
+        server.update_state()
+        self.engine.call_after(UPDATE_INTERVAL_MS, self.update_server, server)
 
-    def note(self, happening: Happening) -> None:
+    def record_happening(self, happening: Happening) -> None:
         begin = happening.at / 1000
         self.happened.append((happening.name, begin, begin + happening.length / 1000))
 
-    def sample(self) -> None:
-        out = {i for group in self.processes for process in group for i in process.cordoned}
-        capacity = sum(self.capacity_of(s) for s in self.servers if s.id not in out) / self.mean_work
+    def take_sample(self) -> None:
+        out = {i for group in self.processes for process in group for i in process.cordoned_since}
+        capacity = sum(self.current_capacity(s) for s in self.servers if s.id not in out) / self.mean_work_ms
         self.samples.append(
             Sample(
                 at=round(self.engine.now / 1000, 3),
-                held=[s.held for s in self.servers],
-                choked=[s.plan.number for s in self.servers if s.choked],
-                cold=[s.plan.number for s in self.servers if s.up and s.warmth() < 1.0],
+                held=[s.requests_held for s in self.servers],
+                choked=[s.plan.number for s in self.servers if s.is_throttled],
+                cold=[s.plan.number for s in self.servers if s.up and s.warm_share() < 1.0],
                 capacity=round(capacity, 6),
-                nodes=[believed(group[-1]) if group else {} for group in self.processes],
+                nodes=[policy_figures(group[-1]) if group else {} for group in self.processes],
             )
         )
         if self.engine.now < self.plan.length:
-            self.engine.after(LOOK, self.sample)
+            self.engine.call_after(SAMPLE_INTERVAL_MS, self.take_sample)
 
-    def result(self, policy: str) -> Run:
-        choked = len(self.tally.choked)
-        for at, number in self.tally.fallen:
-            self.judge.breach("cold server", at, -1, -1, number, "sent more than it can bear, it fell over")
-        verdict = self.judge.verdict(self.tally.useful, self.tally.done, choked / len(self.servers))
+    def build_result(self, policy: str) -> Run:
+        choked = len(self.work_totals.throttled_servers)
+        for at, number in self.work_totals.crashes:
+            self.scorer.record_breach(
+                "cold server", at, -1, -1, number, "sent more than it can bear, it fell over"
+            )
+        verdict = self.scorer.compute_verdict(
+            self.work_totals.useful_ms, self.work_totals.done_ms, choked / len(self.servers)
+        )
         return Run(
             scenario=self.scenario.name,
             seed=self.plan.seed,
             policy=policy,
             seconds=self.seconds,
-            first_tries=self.judge.first_tries,
-            tries=self.judge.tries,
+            first_tries=self.scorer.first_tries,
+            tries=self.scorer.tries,
             verdict=verdict,
-            outcomes=self.clients.counts,
-            asked=[round(x, 3) for x in self.judge.asked],
-            earned=[round(x, 3) for x in self.judge.earned],
-            refused=self.judge.refused,
-            failed=self.judge.failed,
+            outcomes=self.clients.outcomes,
+            asked=[round(x, 3) for x in self.scorer.asked],
+            earned=[round(x, 3) for x in self.scorer.earned],
+            refused=self.scorer.refused,
+            failed=self.scorer.failed,
             choked=choked,
-            fallen=self.tally.fallen,
+            fallen=self.work_totals.crashes,
             happenings=self.happened,
-            breaches=self.judge.breaches,
+            breaches=self.scorer.breaches,
             samples=self.samples,
             logs=self.logs,
         )
 
 
-def believed(process: SimulatedNode) -> dict[str, float]:
+def policy_figures(process: SimulatedNode) -> dict[str, float]:
     """What a node's module believes, where it has such figures."""
     policy = process.policy
     names = ("in_flight", "need", "x", "cut", "errors", "rate", "best_rate", "mean", "least", "warm")
     found = {name: getattr(policy, name, None) for name in names}
     figures = {name: round(float(value), 4) for name, value in found.items() if value is not None}
-    return figures | {"held": float(len(process.held))}
+    return figures | {"held": float(len(process.open_requests))}
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -15,164 +15,191 @@
 from flaxstep.rollout.plan import Member, Plan
 from flaxstep.rollout.release import Release, State, line_up
 from flaxstep.rollout.snapshot import Answers, Listed, NodeView, ServerCounters, Snapshot
-from flaxstep.rollout.snapshot import Process as Told
+from flaxstep.rollout.snapshot import Process as ProcessView
 from flaxstep.rollout.state_machine import ReleaseStateMachine
-from flaxstep.routing.interface import Result as Ended
+from flaxstep.routing.interface import Result as AttemptResult
 from flaxstep.routing.interface import State as Lifecycle
-from flaxstep.simulator.engine import Chance
+from flaxstep.simulator.engine import UniformStream
 from flaxstep.simulator.fault_config import Figures
 from flaxstep.simulator.job_servers import Attempt
 from flaxstep.simulator.simulated_node import SimulatedNode
 from flaxstep.simulator.simulation import Simulation
 
-CALL_MS = 5.0  # a call at a door
+ADMIN_CALL_MS = 5.0  # a call at a door
 
 
 class SimulatedRollout:
     """A release of the world's job servers; `to` is how the version differs, `chance` when commands end."""
 
-    def __init__(self, world: Simulation, plan: Plan, to: Figures, chance: Chance) -> None:
-        self.world, self.plan, self.to, self.chance = world, plan, to, chance
-        self.servers = {str(server.plan.number): server for server in world.servers}
-        self.whole = {name: server.plan for name, server in self.servers.items()}
-        self.runs = dict.fromkeys(self.servers, plan.from_)
-        self.classes = [c.name for c in world.scenario.classes]
-        self.figures: dict[SimulatedNode, ServerMetrics] = {}
-        self.results: dict[SimulatedNode, list[list[int]]] = {}
+    def __init__(
+        self, simulation: Simulation, plan: Plan, new_behaviour: Figures, uniform: UniformStream
+    ) -> None:
+        self.simulation, self.plan, self.new_behaviour, self.uniform = (
+            simulation,
+            plan,
+            new_behaviour,
+            uniform,
+        )
+        self.servers = {str(server.plan.number): server for server in simulation.servers}
+        self.original_plans = {name: server.plan for name, server in self.servers.items()}
+        self.running_versions = dict.fromkeys(self.servers, plan.from_)
+        self.classes = [c.name for c in simulation.scenario.classes]
+        self.metrics: dict[SimulatedNode, ServerMetrics] = {}
+        self.request_counts: dict[SimulatedNode, list[list[int]]] = {}
         members = [
             Member(name, str(s.plan.zone), s.plan.cores * s.plan.speed) for name, s in self.servers.items()
         ]
         self.release, self.standings = Release(), line_up(plan, members)
-        doors = {str(node): (str(node),) for node in range(len(world.processes))}
-        self.course = ReleaseStateMachine(plan, self.release, self.standings, doors)
+        admin_addresses = {str(node): (str(node),) for node in range(len(simulation.processes))}
+        self.state_machine = ReleaseStateMachine(plan, self.release, self.standings, admin_addresses)
         self.ended_at = float("inf")
-        self.most_out = 0
+        self.max_out = 0
         self.halted_with = 0  # members that had the version when it was found bad
-        self.at_over: Callable[[], None] = lambda: None  # called when the release is over
-        world.on_attempt, world.on_answer = self.attempt_ended, self.answered
-        world.engine.at(0.0, self.look)
+        self.on_release_over: Callable[[], None] = lambda: None  # called when the release is over
+        simulation.on_attempt, simulation.on_request_finished = (
+            self.on_attempt_finished,
+            self.on_request_finished,
+        )
+        simulation.engine.call_at(0.0, self.tick)
 
     # What nodes count.
 
-    def known(self, process: SimulatedNode) -> ServerMetrics:
+    def metrics_of(self, process: SimulatedNode) -> ServerMetrics:
         """A process's figures of job servers, which begin anew where its list tells of a new start."""
-        figures = self.figures.get(process)
-        if figures is None:
-            figures = self.figures[process] = ServerMetrics(self.classes)
-        return figures
-
-    def attempt_ended(self, process: SimulatedNode, attempt: Attempt, result: Ended, took: float) -> None:
-        server = self.world.servers[attempt.server]
-        figures = self.known(process)
-        if attempt.server not in figures.servers:
-            figures.listed(attempt.server, str(attempt.server), server.started)
-        figures.ended(attempt.server, attempt.cls, result, took)
-
-    def answered(self, process: SimulatedNode, cls: int, which: int) -> None:
+        metrics = self.metrics.get(process)
+        if metrics is None:
+            metrics = self.metrics[process] = ServerMetrics(self.classes)
+        return metrics
+
+    def on_attempt_finished(
+        self, process: SimulatedNode, attempt: Attempt, result: AttemptResult, took: float
+    ) -> None:
+        server = self.simulation.servers[attempt.server]
+        metrics = self.metrics_of(process)
+        if attempt.server not in metrics.servers:
+            metrics.listed(attempt.server, str(attempt.server), server.started_at)
+        metrics.ended(attempt.server, attempt.cls, result, took)
+
+    def on_request_finished(self, process: SimulatedNode, cls: int, result_index: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
-        counts = self.results.setdefault(process, [[0, 0, 0] for _ in self.classes])
-        counts[cls][which] += 1
+        counts = self.request_counts.setdefault(process, [[0, 0, 0] for _ in self.classes])
+        counts[cls][result_index] += 1
 
     # A look.
 
-    def look(self) -> None:
-        now = self.world.engine.now / 1000
+    def tick(self) -> None:
+        now = self.simulation.engine.now / 1000
         rolling = self.release.state is State.ROLLING
-        acts = self.course.tick(now, self.view(now))
+        actions = self.state_machine.tick(now, self.take_snapshot(now))
         if rolling and self.release.state is State.GOING_BACK:
-            self.halted_with = sum(version == self.plan.to for version in self.runs.values())
-        self.most_out = max(self.most_out, sum(member.out for member in self.standings.values()))
-        if self.course.over:
+            self.halted_with = sum(version == self.plan.to for version in self.running_versions.values())
+        self.max_out = max(self.max_out, sum(member.out for member in self.standings.values()))
+        if self.state_machine.over:
             self.ended_at = now
-            self.at_over()
+            self.on_release_over()
             return
-        for act in acts:
-            self.standings[act.member].open = -1
-            self.perform(act)
-        self.world.engine.after(1000 * self.plan.watch.look_s, self.look)
-
-    def view(self, now: float) -> Snapshot:
-        entries = self.world.discovery.entries.values()
-        started = {self.world.by_id[e.id].plan.number: round(e.started) for e in entries}
+        for action in actions:
+            self.standings[action.member].open = -1
+            self.perform_action(action)
+        self.simulation.engine.call_after(1000 * self.plan.watch.look_s, self.tick)
+
+    def take_snapshot(self, now: float) -> Snapshot:
+        entries = self.simulation.discovery.entries.values()
+        started = {self.simulation.servers_by_id[e.id].plan.number: round(e.started) for e in entries}
         listed = {
             str(number): Listed(str(number), "", str(s.plan.zone), 1.0, "active", started[number])
-            for s in self.world.servers
+            for s in self.simulation.servers
             if (number := s.plan.number) in started
         }
         nodes = {}
-        for node, group in enumerate(self.world.processes):
-            told = tuple(self.told(process, started) for process in group if process.alive)
-            nodes[str(node)] = NodeView(str(node), told, "" if told else "connection refused")
+        for node, group in enumerate(self.simulation.processes):
+            processes = tuple(self.observe_process(process, started) for process in group if process.alive)
+            nodes[str(node)] = NodeView(str(node), processes, "" if processes else "connection refused")
         return Snapshot(now, nodes, listed)
 
-    def told(self, process: SimulatedNode, started: dict[int, int]) -> Told:
-        figures, held = self.known(process), Counter(a.server for a in process.attempts.values())
-        out = {self.world.by_id[i].plan.number for i in process.cordoned}
+    def observe_process(self, process: SimulatedNode, started: dict[int, int]) -> ProcessView:
+        metrics, held = self.metrics_of(process), Counter(a.server for a in process.open_attempts.values())
+        out = {self.simulation.servers_by_id[i].plan.number for i in process.cordoned_since}
         servers = {}
         for number, at in started.items():
-            known = figures.servers.get(number)
-            if known is not None and round(known.started) != at:
-                figures.listed(number, str(number), float(at))
-                known = None
+            server_metrics = metrics.servers.get(number)
+            if server_metrics is not None and round(server_metrics.started) != at:
+                metrics.listed(number, str(number), float(at))
+                server_metrics = None
             classes = {}
             for cls, name in enumerate(self.classes):
-                if known is None:
+                if server_metrics is None:
                     classes[name] = Answers()
                     continue
-                took = Counter({b: n for b, n in enumerate(known.took[cls]) if n})
-                classes[name] = Answers(took.total(), known.failed[cls], known.unstarted[cls], took)
+                took = Counter({b: n for b, n in enumerate(server_metrics.took[cls]) if n})
+                classes[name] = Answers(
+                    took.total(), server_metrics.failed[cls], server_metrics.unstarted[cls], took
+                )
             servers[str(number)] = ServerCounters(held.get(number, 0), number in out, at, classes)
-        counts = self.results.get(process, [[0, 0, 0] for _ in self.classes])
+        counts = self.request_counts.get(process, [[0, 0, 0] for _ in self.classes])
         results = {n: (c[0], c[1], c[2]) for n, c in zip(self.classes, counts, strict=True)}
-        return Told(f"{process.node}-{id(process)}", "ready", servers, results)
+        return ProcessView(f"{process.node}-{id(process)}", "ready", servers, results)
 
     # Acts.
 
-    def perform(self, act: Action) -> None:
-        engine, server = self.world.engine, self.servers[act.member]
-        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
-            silent = [node for node, group in enumerate(self.world.processes) if not group]
-            for group in self.world.processes:
+    def perform_action(self, action: Action) -> None:
+        engine, server = self.simulation.engine, self.servers[action.member]
+        if action.do in (ActionKind.CORDON, ActionKind.UNCORDON):
+            unreachable = [node for node, group in enumerate(self.simulation.processes) if not group]
+            for group in self.simulation.processes:
                 for process in group:
-                    call = process.cordon if act.do is ActionKind.CORDON else process.uncordon
-                    engine.after(CALL_MS * self.chance(), call, server.id)
-            why = f"{silent[0]}: connection refused" if silent else ""
-            engine.after(CALL_MS, self.done, act, ActionResult(not silent, why))
-        elif act.do is ActionKind.RUN:
-            down = 1000 * self.chance.between(0.5, 3.0)
-            server.stop()
+                    call = process.cordon if action.do is ActionKind.CORDON else process.uncordon
+                    engine.call_after(ADMIN_CALL_MS * self.uniform(), call, server.id)
+            error = f"{unreachable[0]}: connection refused" if unreachable else ""
+            engine.call_after(ADMIN_CALL_MS, self.report_result, action, ActionResult(not unreachable, error))
+        elif action.do is ActionKind.RUN:
+            down = 1000 * self.uniform.between(0.5, 3.0)
+            server.stop_process()
             server.state = Lifecycle.GONE
-            self.world.discovery.hear(server, Lifecycle.GONE, 500.0)
-            engine.after(down, self.boot, act)
+            self.simulation.discovery.schedule_update(server, Lifecycle.GONE, 500.0)
+            engine.call_after(down, self.finish_restart, action)
         else:
-            up = server.up
-            said = self.runs[act.member] if act.do is ActionKind.ASK else "" if up else "connection refused"
-            engine.after(CALL_MS, self.done, act, ActionResult(up, said))
-
-    def boot(self, act: Action) -> None:
+            is_up = server.up
+            output = (
+                self.running_versions[action.member]
+                if action.do is ActionKind.ASK
+                else ""
+                if is_up
+                else "connection refused"
+            )
+            engine.call_after(ADMIN_CALL_MS, self.report_result, action, ActionResult(is_up, output))
+
+    def finish_restart(self, action: Action) -> None:
         """The new process: what its version differs in it has from its start, or some time after."""
-        server, whole = self.servers[act.member], self.whole[act.member]
-        self.runs[act.member] = act.version
-        server.plan, server.capacity = whole, whole.cores * whole.speed
-        server.boot()
-        self.world.discovery.hear(server, Lifecycle.READY, 1000 * self.world.plan.figures["discovery.add_s"])
-        if act.version == self.plan.to:
-            self.world.engine.after(1000 * self.to.after_s, self.differ, act.member, server.started)
-        self.done(act, ActionResult(True))
-
-    def differ(self, name: str, started: float) -> None:
-        server, to = self.servers[name], self.to
-        if server.started != started:
+        server, original_plan = self.servers[action.member], self.original_plans[action.member]
+        self.running_versions[action.member] = action.version
+        server.plan, server.capacity = original_plan, original_plan.cores * original_plan.speed
+        server.start_process()
+        self.simulation.discovery.schedule_update(
+            server, Lifecycle.READY, 1000 * self.simulation.plan.figures["discovery.add_s"]
+        )
+        if action.version == self.plan.to:
+            self.simulation.engine.call_after(
+                1000 * self.new_behaviour.after_s,
+                self.apply_version_behaviour,
+                action.member,
+                server.started_at,
+            )
+        self.report_result(action, ActionResult(True))
+
+    def apply_version_behaviour(self, name: str, started: float) -> None:
+        server, new_behaviour = self.servers[name], self.new_behaviour
+        if server.started_at != started:
             return
-        server.advance()
-        plan = replace(server.plan, error_rate=min(1.0, server.plan.error_rate + to.errors))
-        if to.slow_over:  # it holds badly: each multiple of that costs so much of its pace
-            plan = replace(plan, thrash=to.slow, thrash_at=to.slow_over)
+        server.advance_work()
+        plan = replace(server.plan, error_rate=min(1.0, server.plan.error_rate + new_behaviour.errors))
+        if new_behaviour.slow_over:  # it holds badly: each multiple of that costs so much of its pace
+            plan = replace(plan, thrash=new_behaviour.slow, thrash_at=new_behaviour.slow_over)
         else:
-            plan = replace(plan, speed=plan.speed / to.slow)
+            plan = replace(plan, speed=plan.speed / new_behaviour.slow)
         server.plan, server.capacity = plan, plan.cores * plan.speed
-        server.changed()
+        server.reschedule_completion()
 
-    def done(self, act: Action, result: ActionResult) -> None:
-        self.standings[act.member].open = 0
-        self.course.ended(act, result, self.world.engine.now / 1000)
+    def report_result(self, action: Action, result: ActionResult) -> None:
+        self.standings[action.member].open = 0
+        self.state_machine.ended(action, result, self.simulation.engine.now / 1000)
