--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,9 +13,16 @@
 
 from flaxstep.cli import main
 from flaxstep.routing.interface import Outcome, Request, Result, Send, ServerList, Settings
-from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import Attempt, ChokePlan, Server, ServerPlan, WorkTotals
-from flaxstep.simulator.runner import Player, Run, encode, play, play_with, player
+from flaxstep.simulator.engine import Engine, RandomStreams
+from flaxstep.simulator.job_servers import Attempt, Server, ServerPlan, ThrottlingPlan, WorkTotals
+from flaxstep.simulator.runner import (
+    PolicySource,
+    Run,
+    encode_result,
+    find_policy,
+    play_scenario,
+    play_with_policy,
+)
 from flaxstep.simulator.scenario import (
     Act,
     Fleet,
@@ -32,98 +39,106 @@
 SMALL = msgspec.structs.replace(read_scenario(FILE), length_s=6.0, acts=[], troubles=[])
 
 
-class Bench:
+class SingleServer:
     """One server by itself, and what becomes of the attempts at it."""
 
     zone = 0
 
-    def __init__(self, cores: int = 1, choke: float = 0.0, cold: bool = False, slots: int = 999) -> None:
-        self.engine, self.tally = Engine(), WorkTotals()
-        self.ended_at: list[tuple[float, Attempt, Result]] = []
+    def __init__(
+        self, cores: int = 1, throttle_at: float = 0.0, cold: bool = False, slots: int = 999
+    ) -> None:
+        self.engine, self.work_totals = Engine(), WorkTotals()
+        self.outcomes: list[tuple[float, Attempt, Result]] = []
         plan = ServerPlan(0, 0, 0, 0, cores, 1.0, slots, 10**6, 0.0, 10.0, 0.12, 10_000.0, 0.0, 900, 0.0)
-        sticky = ChokePlan(choke > 0, choke or 5.0, 1500.0, 3.0, 2000.0, 0.3, 30_000.0)
-        chance = Streams(1).chance("server")
+        throttling = ThrottlingPlan(throttle_at > 0, throttle_at or 5.0, 1500.0, 3.0, 2000.0, 0.3, 30_000.0)
+        uniform = RandomStreams(1).uniform("server")
         self.server = Server(
-            self.engine, plan, sticky, (2.5, 2000.0, 24_000.0), self.tally, chance, self.answer
+            self.engine,
+            plan,
+            throttling,
+            (2.5, 2000.0, 24_000.0),
+            self.work_totals,
+            uniform,
+            self.on_finished,
         )
         if cold:
-            self.server.boot()
+            self.server.start_process()
 
-    def answer(self, attempt: Attempt, result: Result) -> None:
-        self.ended_at.append((self.engine.now, attempt, result))
+    def on_finished(self, attempt: Attempt, result: Result) -> None:
+        self.outcomes.append((self.engine.now, attempt, result))
 
-    def ended(self, attempt: Attempt, result: Result) -> None:
+    def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None:
         """The owner's part: nobody asks here."""
 
-    def give(self, at: float, work: float) -> None:
+    def submit(self, at: float, work: float) -> None:
         attempt = Attempt(self, 0, 0, 0, 0, work, at, 0, 0)
-        self.engine.at(at, self.server.arrive, attempt)
+        self.engine.call_at(at, self.server.on_arrival, attempt)
 
-    def look(self) -> None:
-        self.server.look()
-        self.engine.after(100.0, self.look)
+    def update_server(self) -> None:
+        self.server.update_state()
+        self.engine.call_after(100.0, self.update_server)
 
 
 def test_an_idle_server_answers_in_its_service_time() -> None:
-    bench = Bench(cores=2)
-    bench.give(10.0, 25.0)
+    bench = SingleServer(cores=2)
+    bench.submit(10.0, 25.0)
     bench.engine.run(100.0)
-    assert [at for at, _, _ in bench.ended_at] == pytest.approx([35.0])
+    assert [at for at, _, _ in bench.outcomes] == pytest.approx([35.0])
 
 
 @pytest.mark.parametrize(("cores", "busy"), [(1, 0.5), (1, 0.7), (2, 0.7)])
 def test_means_are_those_of_theory(cores: int, busy: float) -> None:
     """Exponential work, first come first served (slots = cores): M/M/1 and M/M/2 by Erlang's formula."""
-    bench, draw = Bench(cores=cores, slots=cores), Streams(7).generator("theory")
+    bench, draw = SingleServer(cores=cores, slots=cores), RandomStreams(7).generator("theory")
     count, mean = 60_000, 10.0
     at = draw.exponential(mean / cores / busy, count).cumsum()
     work = draw.exponential(mean, count)
     for when, size in zip(at.tolist(), work.tolist(), strict=True):
-        bench.give(when, size)
+        bench.submit(when, size)
     bench.engine.run(float(at[-1]) + 10_000.0)
-    took = sum(when - attempt.sent for when, attempt, _ in bench.ended_at) / count
+    took = sum(when - attempt.sent_at for when, attempt, _ in bench.outcomes) / count
     expected = mean / (1 - busy) if cores == 1 else mean / (1 - busy * busy)
     assert took == pytest.approx(expected, rel=0.06)
-    assert bench.tally.done == pytest.approx(sum(work.tolist()))  # work is conserved
+    assert bench.work_totals.done_ms == pytest.approx(sum(work.tolist()))  # work is conserved
 
 
 def test_a_tipped_cold_server_falls_and_one_spared_warms() -> None:
-    tipped, spared = Bench(cold=True), Bench(cold=True)
+    tipped, spared = SingleServer(cold=True), SingleServer(cold=True)
     for i in range(100):
-        tipped.give(20.0 + 20.0 * i, 20.0)  # eight times what it can do
-        spared.give(20.0 + 250.0 * i, 20.0)
+        tipped.submit(20.0 + 20.0 * i, 20.0)  # eight times what it can do
+        spared.submit(20.0 + 250.0 * i, 20.0)
     for bench in (tipped, spared):
         bench.engine.run(25_000.0)
-    assert tipped.tally.fallen and not tipped.server.up
-    assert not spared.tally.fallen and spared.server.warmth() == 1.0
+    assert tipped.work_totals.crashes and not tipped.server.up
+    assert not spared.work_totals.crashes and spared.server.warm_share() == 1.0
 
 
 def test_an_overfilled_server_stays_slow_until_it_rests() -> None:
-    bench = Bench(choke=5.0)
-    bench.look()
+    bench = SingleServer(throttle_at=5.0)
+    bench.update_server()
     for i in range(12):
-        bench.give(float(i), 400.0)
+        bench.submit(float(i), 400.0)
     bench.engine.run(4000.0)
-    assert bench.server.choked
+    assert bench.server.is_throttled
     bench.engine.run(14_000.0)  # three times slower: 4,800 ms of work take until 12 s
-    assert not bench.server.held and bench.server.choked_at == float("inf")
+    assert not bench.server.requests_held and bench.server.throttled_at == float("inf")
 
 
 def test_what_is_called_back_while_it_waits_is_not_done() -> None:
-    bench = Bench(slots=1)
-    bench.give(0.0, 50.0)
+    bench = SingleServer(slots=1)
+    bench.submit(0.0, 50.0)
     waiting = Attempt(bench, 1, 0, 0, 0, 50.0, 1.0, 0, 0)
-    bench.engine.at(1.0, bench.server.arrive, waiting)
-    bench.engine.at(2.0, bench.server.drop, waiting, True)
+    bench.engine.call_at(1.0, bench.server.on_arrival, waiting)
+    bench.engine.call_at(2.0, bench.server.abandon_attempt, waiting, True)
     bench.engine.run(500.0)
-    assert bench.tally.done == pytest.approx(50.0) and bench.server.held == 0
+    assert bench.work_totals.done_ms == pytest.approx(50.0) and bench.server.requests_held == 0
 
 
 def test_one_seed_is_one_day_to_the_byte_and_under_any_hash() -> None:
     code = (
         "import sys; from tests.test_lab import SMALL;"
-        "from flaxstep.simulator.runner import encode, play, player;"
-        "sys.stdout.buffer.write(encode(play(SMALL, 5, player('here'))))"
+        "from flaxstep.simulator.runner import encode_result, play_scenario, find_policy;"
+        "sys.stdout.buffer.write(encode_result(play_scenario(SMALL, 5, find_policy('here'))))"
     )
     runs = [
         subprocess.run(
@@ -134,24 +149,24 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert runs[0] == runs[1] == encode(play(SMALL, 5, player("here")))
+    assert runs[0] == runs[1] == encode_result(play_scenario(SMALL, 5, find_policy("here")))
 
 
 def test_two_modules_meet_the_same_day() -> None:
-    plain, seeing = (play(SMALL, 3, player(name)) for name in ("random", "seeing"))
+    plain, seeing = (play_scenario(SMALL, 3, find_policy(name)) for name in ("random", "seeing"))
     assert plain.asked == seeing.asked and plain.first_tries == seeing.first_tries
     assert seeing.verdict.g > plain.verdict.g
 
 
 def test_the_day_of_hand_and_drain_hurts_the_module_and_not_the_one_that_sees() -> None:
     scenario = read_scenario(FILE)
-    ours, seeing = (play(scenario, 2, player(name)) for name in ("here", "seeing"))
+    ours, seeing = (play_scenario(scenario, 2, find_policy(name)) for name in ("here", "seeing"))
     assert ours.verdict.breaches == seeing.verdict.breaches == 0
     assert [name for name, _, _ in ours.happenings].count("cordon") == 2
     assert seeing.verdict.served > ours.verdict.served
 
 
-class Wild:
+class RuleBreakingPolicy:
     """Breaks what can be broken: sends to any server, repeats what failed, refuses what may have run."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -173,7 +188,7 @@
     errors = Trouble("fast_errors", at_s=0.5, len_s=1.0, part=1.0, size=0.5)
     out = Act("cordon", at_s=1.0, for_s=4.0, count=9, down_s=0.1)
     scenario = msgspec.structs.replace(SMALL, acts=[out], troubles=[errors], load=Load(of_capacity=3.0))
-    run = play(scenario, 1, Player("wild", Wild, frozenset({"Cordon"})))
+    run = play_scenario(scenario, 1, PolicySource("wild", RuleBreakingPolicy, frozenset({"Cordon"})))
     assert {"duplicate", "cordon", "cold server", "lost request"} <= {b.rule for b in run.breaches}
     assert all(b.at > 0 for b in run.breaches)
 
@@ -200,7 +215,7 @@
         Act("restart", at_s=3.0, for_s=1.0, count=2),
     ]
     scenario = msgspec.structs.replace(SMALL, acts=acts, troubles=troubles, fleet=Fleet(nodes=4, servers=12))
-    run = play(scenario, 4, player("here"))
+    run = play_scenario(scenario, 4, find_policy("here"))
     assert len(run.happenings) == len(troubles) + len(acts)
     assert run.verdict.breaches == 0 and run.verdict.served > 0.5
 
@@ -242,7 +257,7 @@
     assert CliRunner().invoke(main, ["lab", "play", str(path), "--policy", "no-such"]).exit_code == 2
 
 
-def git(*words: str) -> str:
+def run_git(*words: str) -> str:
     return subprocess.run(
         ["git", *words], cwd=ROOT, capture_output=True, check=True, text=True
     ).stdout.strip()
@@ -254,14 +269,16 @@
     path.write_text(FILE.read_text().replace("length_s = [25, 28]", "length_s = 4").split("[[acts]]")[0])
     scenario = read_scenario(path)
 
-    def played(policy: str) -> Run:
-        run = play_with(policy, scenario, path, 2)
-        assert run.policy == ("here" if policy == "here" else f"rev {git('rev-parse', policy)[:12]}")
+    def play_with_result(policy: str) -> Run:
+        run = play_with_policy(policy, scenario, path, 2)
+        assert run.policy == ("here" if policy == "here" else f"rev {run_git('rev-parse', policy)[:12]}")
         return msgspec.structs.replace(run, policy="")
 
-    renamed = git("log", "-1", "--format=%H", "--", "cottonhall/rules.py")
-    assert "flaxstep/routing" in git("ls-tree", "--name-only", renamed, "flaxstep/routing")
-    assert encode(played(f"{renamed}^")) == encode(played(renamed))
-    last, here = encode(played("HEAD")), encode(played("here"))
-    changed = git("status", "--porcelain", "--", "flaxstep/routing")  # then what is here may decide otherwise
+    renamed = run_git("log", "-1", "--format=%H", "--", "cottonhall/rules.py")
+    assert "flaxstep/routing" in run_git("ls-tree", "--name-only", renamed, "flaxstep/routing")
+    assert encode_result(play_with_result(f"{renamed}^")) == encode_result(play_with_result(renamed))
+    last, here = encode_result(play_with_result("HEAD")), encode_result(play_with_result("here"))
+    changed = run_git(
+        "status", "--porcelain", "--", "flaxstep/routing"
+    )  # then what is here may decide otherwise
     assert changed or last == here
--- a/tests/test_release_lab.py
+++ b/tests/test_release_lab.py
@@ -8,7 +8,7 @@
 
 def test_a_release_of_a_drawn_farm_goes_through_and_no_cold_server_falls() -> None:
     done = play(1, "good")
-    assert done.state is State.DONE and done.released == 9 and done.most_out == 1
+    assert done.state is State.DONE and done.released == 9 and done.max_out == 1
     assert done.fallen == done.broken == 0 and done.in_time > 0.95 * done.asked
 
 
