--- a/flaxstep/simulator/__init__.py
+++ b/flaxstep/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: a model of the farm in virtual time that hosts the real decisions."""
+"""The lab: a discrete-event simulation of the farm that runs the real routing policy."""
--- a/flaxstep/simulator/baselines.py
+++ b/flaxstep/simulator/baselines.py
@@ -1,6 +1,6 @@
-"""Plain modules to hold the real one against: four that know only what they send, and one that sees.
+"""Baseline policies to compare the real one with: four that know only what they send, one that is omniscient.
 
-They speak the module's interface. None keeps a queue, learns or asks anybody; each keeps the rules.
+They have the interface of the routing policy. None has a queue, learns, or uses peers; each keeps the rules.
 """
 
 from __future__ import annotations
@@ -28,15 +28,13 @@
 )
 from flaxstep.routing.interface import Cordon as CordonEvent
 
-VIEW_MAX_AGE_MS = 25.0  # ms by which the seeing one's view is old, on average half of it
-LEAST_WORTH_AIM_SHARE, MOST_WORTH_AIM_SHARE = (
-    0.45,
-    0.9,
-)  # of its aim that a request of the least and of the most worth may be expected to take
+VIEW_MAX_AGE_MS = 25.0  # the omniscient policy's view is refreshed at this interval
+# A request is admitted up to this expected duration, as a share of its aim.
+LEAST_WORTH_AIM_SHARE, MOST_WORTH_AIM_SHARE = (0.45, 0.9)
 
 
 class RandomPolicy:
-    """Sends each request to a ready server, again if that provably never ran, and refuses nothing else."""
+    """Picks a ready server at random, retries what provably never ran, and sheds nothing."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
@@ -44,8 +42,8 @@
         self.entries: dict[int, ServerEntry] = {}
         self.cordoned: set[int] = set()
         self.ready: list[int] = []
-        self.outstanding: dict[int, int] = {}  # of ours, by server
-        self.open_requests: dict[int, tuple[Request, list[int]]] = {}  # request, servers tried
+        self.outstanding: dict[int, int] = {}  # attempts of this node, by server
+        self.open_requests: dict[int, tuple[Request, list[int]]] = {}  # by id: request and servers tried
 
     def handle(self, now: float, event: Any) -> list[Any]:
         self.now = now
@@ -103,12 +101,12 @@
         return True
 
     def pick_server(self, candidates: Sequence[int]) -> int:
-        """At random."""
+        """Pick at random."""
         return candidates[int(self.random.random() * len(candidates))]
 
 
 class RoundRobinPolicy(RandomPolicy):
-    """Round robin."""
+    """Picks the ready servers in turn (round robin)."""
 
     picks = 0
 
@@ -118,14 +116,14 @@
 
 
 class LeastOutstandingPolicy(RandomPolicy):
-    """The server that holds least of ours."""
+    """Picks the server with the fewest outstanding attempts of this node."""
 
     def pick_server(self, candidates: Sequence[int]) -> int:
         return min(candidates, key=lambda i: (self.outstanding.get(i, 0), self.random.random()))
 
 
 class TwoChoicesPolicy(RandomPolicy):
-    """Of two at random the one that holds less of ours."""
+    """Picks, of two servers at random, the one with fewer outstanding attempts of this node."""
 
     def pick_server(self, candidates: Sequence[int]) -> int:
         one, other = (candidates[int(self.random.random() * len(candidates))] for _ in range(2))
@@ -133,14 +131,14 @@
 
 
 class TrueStateView(Protocol):
-    """The true state of the servers, as the seeing baseline gets it."""
+    """The true state of the servers, for the omniscient baseline."""
 
     def true_state(self) -> dict[int, tuple[float, float, float]]:
-        """By server: requests held, cores, ms that a request of mean work takes there alone."""
+        """By server id: requests held, cores, ms that a request of mean work takes there alone."""
 
 
 class OmniscientPolicy(RandomPolicy):
-    """Sees what every server holds and can do, a little late; the least worth is refused first."""
+    """Knows the load and capacity of every server, slightly late; sheds requests of the least worth first."""
 
     view: TrueStateView | None = None
 
--- a/flaxstep/simulator/config_types.py
+++ b/flaxstep/simulator/config_types.py
@@ -1,4 +1,4 @@
-"""What the tables of a scenario are made of: figures with bounds, and ranges from which each seed draws."""
+"""Types for the tables of a scenario: numbers with bounds, and ranges from which each seed draws."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 Natural = Annotated[float, Meta(ge=0)]
 Part = Annotated[float, Meta(ge=0, le=1)]
 Span = tuple[float, float]
-# A figure, or a range from which each seed draws. That none is below 0 is checked by hand: with bounds inside
-# a union, msgspec 0.19 to 0.23 crash in the garbage collector.
+# A number, or a range from which each seed draws. check_scenario checks that none is below 0: with bounds
+# inside a union, msgspec 0.19 to 0.23 crash in the garbage collector.
 Range = float | tuple[float, float]
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of a scenario. An unknown key is an error: it would be a figure that nobody applies."""
+    """A table of a scenario. An unknown key is an error, as it would have no effect."""
--- a/flaxstep/simulator/engine.py
+++ b/flaxstep/simulator/engine.py
@@ -1,4 +1,4 @@
-"""Virtual time and chance: one queue of calls in order of time, and a random stream for each purpose."""
+"""Discrete-event simulation: an event queue in virtual time, and a random stream for each purpose."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 import numpy as np
 
-DRAWS_PER_BLOCK = 4096  # numbers drawn from a stream at once; numpy pays off only in blocks
+DRAWS_PER_BLOCK = 4096  # numpy is only fast for many numbers at once
 
 
 class Engine:
-    """Runs calls at their time, those of one time in the order in which they were asked for. Times in ms."""
+    """The event queue: makes calls in order of time, then in order of scheduling. Times in ms."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.calls_made = 0  # made so far
+        self.calls_made = 0
         self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._calls_scheduled = 0
 
     def call_at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Make a call at a time; one that has passed means now, after what is due already."""
+        """Schedule a call. A time in the past means now, after the calls that are already due."""
         self._calls_scheduled += 1
         heappush(self._queue, (when if when > self.now else self.now, self._calls_scheduled, call, arguments))
 
     def call_after(self, delay: float, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedule a call after a delay in ms."""
         self._calls_scheduled += 1
         heappush(self._queue, (self.now + max(delay, 0.0), self._calls_scheduled, call, arguments))
 
     def run(self, until: float) -> None:
-        """Make every call that is due up to a time, and leave the clock there."""
+        """Make every call that is due up to a time, and set the clock to it."""
         queue = self._queue
         while queue and queue[0][0] <= until:
             self.now, _, call, arguments = heappop(queue)
@@ -41,8 +42,10 @@
 
 
 class RandomStreams:
-    """Random streams by purpose. What one purpose draws moves no other, so two policies on one seed meet
-    the same day."""
+    """Independent random streams, one per purpose, named by a text.
+
+    What is drawn from one stream changes no other, so two policies with one seed get the same run.
+    """
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -55,7 +58,7 @@
 
 
 class UniformStream:
-    """Uniform numbers from 0 to 1, one at a time, drawn in blocks."""
+    """Uniform random numbers from 0 to 1, one at a time, drawn in blocks."""
 
     __slots__ = ("_generator", "_drawn")
 
--- a/flaxstep/simulator/job_servers.py
+++ b/flaxstep/simulator/job_servers.py
@@ -1,8 +1,10 @@
-"""The job servers of the model: cores, a queue, warmth, the sticky slowdown, connections and falling over.
+"""The simulated job servers: cores, a queue, cold start, throttling, connections and crashes.
 
-A server shares its cores evenly among the requests in work (at most its slots; the rest wait). Its pace is
-speed x warmth x efficiency / slowdown, in ms of standard work a ms and core. "Virtual" work is what each
-request in work has got so far, so that one heap tells who is done next, however often the pace changes.
+A server shares its cores evenly among the requests in service (at most `slots`; the rest wait in the queue).
+Its service rate is speed x warm share x efficiency / slowdown, in ms of standard work per ms and core.
+"Virtual work" is the work that each request in service has received since the start of the run. A request
+completes when it reaches a fixed amount of virtual work, so one heap gives the next completion however often
+the service rate changes.
 """
 
 from __future__ import annotations
@@ -16,13 +18,13 @@
 from flaxstep.routing.interface import Result, State
 from flaxstep.simulator.engine import Engine, UniformStream
 
-UPDATE_INTERVAL_MS = 100.0  # ms between looks at warmth, slowdown and tipping
-FAST_ERROR_MS = 1.0  # ms that a fast error takes
-NEVER = float("inf")
+UPDATE_INTERVAL_MS = 100.0  # between updates of warm-up and throttling
+FAST_ERROR_MS = 1.0  # service time of a fast error
+NEVER = float("inf")  # the time of something that has not happened
 
 
 class AttemptOwner(Protocol):
-    """The process that an attempt is out for."""
+    """The node process that sent an attempt."""
 
     zone: int
 
@@ -31,27 +33,27 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at a request, on its way through the farm."""
+    """One attempt at a request, from the node to a job server and back. Times in ms."""
 
     owner: AttemptOwner
-    request_id: int  # the owner's number for it
+    request_id: int  # unique within the owner
     number: int
     cls: int
     server: int
-    work_ms: float  # ms on a standard core
+    work_ms: float  # on a standard core
     sent_at: float
     cell: int
     zone: int
-    times_out_at: float = NEVER  # clock time of its time-out
-    state: int = 0  # 0 on its way, 1 waiting, 2 in work, 3 ended at the server
-    finishes_at_work: float = 0.0  # virtual work at which it is done
-    has_outcome: bool = False  # the node has its outcome
-    response_lost: bool = False  # its answer gets lost
+    times_out_at: float = NEVER
+    state: int = 0  # 0 in transit, 1 queued, 2 in service, 3 ended at the server
+    finishes_at_work: float = 0.0  # the server's virtual work at its completion
+    has_outcome: bool = False  # the node has recorded its result
+    response_lost: bool = False  # the server will not send its response
 
 
 @dataclass(slots=True)
 class ServerPlan:
-    """What a seed has drawn for one server."""
+    """The properties of one server, as drawn from the seed. The rig stores the fields under these names."""
 
     number: int
     zone: int
@@ -72,7 +74,12 @@
 
 @dataclass(slots=True)
 class ThrottlingPlan:
-    """What a seed has drawn for the sticky slowdown of the day."""
+    """The throttling of overfilled servers in this run, as drawn from the seed.
+
+    A server is throttled, and then `slower` times as slow, once more than `at` requests per core have waited
+    for `over_ms`. It recovers when its busy share was under `below` over `rest_ms`, at the latest after
+    `most_ms`. The rig stores the fields under these names.
+    """
 
     on: bool
     at: float
@@ -85,16 +92,16 @@
 
 @dataclass(slots=True)
 class WorkTotals:
-    """What servers of a day did, in ms of work."""
+    """Totals over all servers of a run."""
 
-    useful_ms: float = 0.0  # for answers that served
-    done_ms: float = 0.0
+    useful_ms: float = 0.0  # work of attempts whose response served a client
+    done_ms: float = 0.0  # all work done
     throttled_servers: set[int] = field(default_factory=set)
-    crashes: list[tuple[float, int]] = field(default_factory=list)  # when, who
+    crashes: list[tuple[float, int]] = field(default_factory=list)  # time in ms, server number
 
 
 class Server:
-    """One machine, through restarts of its process."""
+    """One machine, across restarts of its process."""
 
     def __init__(
         self,
@@ -109,23 +116,23 @@
         self.engine, self.plan, self.throttling, self.work_totals = engine, plan, throttling, work_totals
         self.uniform, self.on_finished = uniform, on_finished
         self.tip_multiple, self.tip_ms, self.ramp_ms = crash_limits
-        self.capacity = plan.cores * plan.speed  # ms of standard work a ms, when warm
-        self.id = 0  # as nodes know it
+        self.capacity = plan.cores * plan.speed  # ms of standard work per ms, when warm
+        self.id = 0  # in server lists
         self.up, self.state = True, State.READY
-        self.started_at = 0.0  # 0: long ago
-        self.warmup_work_ms = NEVER  # work done since the start
-        # Troubles
+        self.started_at = 0.0  # 0: before the run, so warm
+        self.warmup_work_ms = NEVER  # work done since the start, as ms at full capacity
+        # Set by troubles; scheduled_events.py and the rig set them by name.
         self.slow, self.taken, self.errors, self.lost, self.resets = 1.0, 0.0, 0.0, 0.0, 0.0
         self.paused = False
-        # What it holds
+        # Requests and connections
         self.running: list[tuple[float, int, Attempt]] = []
         self.in_service = 0
         self.queue: deque[Attempt] = deque()
         self.queued_count = 0
-        self.open_connections: dict[int, int] = {}  # connections in use, by node
-        self.idle_connections: dict[int, list[float]] = {}  # when idle ones were last used, by node
+        self.open_connections: dict[int, int] = {}  # by node
+        self.idle_connections: dict[int, list[float]] = {}  # by node: when each was last used
         self.connection_count = 0
-        # Its clock
+        # Progress of the work
         self.virtual_work, self.advanced_at, self.service_rate, self.schedule_version, self.service_starts = (
             0.0,
             0.0,
@@ -133,15 +140,15 @@
             0,
             0,
         )
-        self.busy_ms = 0.0  # ms of busy cores since the last look
+        self.busy_ms = 0.0  # since the last update: time times the share of busy cores
         self.overfull_since = NEVER
         self.throttled_at = NEVER
         self.busy_shares: deque[float] = deque(maxlen=max(1, round(throttling.rest_ms / UPDATE_INTERVAL_MS)))
-        self.recent_cold_work: deque[tuple[float, float]] = deque()  # what came lately while cold
+        self.recent_cold_work: deque[tuple[float, float]] = deque()  # while cold: arrival time and work
         self.recent_cold_work_ms = 0.0
         self.update_service_rate()
 
-    # Pace.
+    # Service rate.
 
     @property
     def requests_held(self) -> int:
@@ -152,7 +159,7 @@
         return self.throttled_at != NEVER
 
     def warm_share(self) -> float:
-        """Capacity now, as a part of the whole: it rises with work done, at least evenly over the ramp."""
+        """Present share of the full capacity: rises with work done, and at least linearly over the ramp."""
         if not self.started_at:
             return 1.0
         plan = self.plan
@@ -176,6 +183,7 @@
         self.service_rate = rate * min(1.0, plan.cores / in_service)
 
     def advance_work(self) -> None:
+        """Account for the work done since the last call, at the service rate until now."""
         now = self.engine.now
         elapsed_ms, self.advanced_at = now - self.advanced_at, now
         if elapsed_ms <= 0.0:
@@ -190,12 +198,12 @@
                 self.warmup_work_ms += work_per_request * in_service / self.capacity
 
     def reschedule_completion(self) -> None:
-        """What it holds or how quick it is has changed: see who is done next."""
+        """After a change of load or rate: fill free slots from the queue, reschedule the next completion."""
         queue, plan = self.queue, self.plan
         while self.in_service < plan.slots and queue:
             attempt = queue.popleft()
             if attempt.state != 1:
-                continue  # called back while it waited
+                continue  # abandoned while queued
             self.queued_count -= 1
             self.begin_service(attempt)
         self.update_service_rate()
@@ -213,12 +221,12 @@
         heappush(self.running, (attempt.finishes_at_work, self.service_starts, attempt))
         self.in_service += 1
 
-    # Work in and out.
+    # Requests.
 
     def on_arrival(self, attempt: Attempt) -> None:
-        """A request's last byte has come."""
+        """A request has been received completely."""
         if attempt.has_outcome and attempt.state == 3:
-            return  # its connection ended on the way
+            return  # the node closed the connection while the request was in transit
         if not self.up:
             attempt.state = 3
             self.on_finished(attempt, Result.RESET)
@@ -252,6 +260,7 @@
         self.reschedule_completion()
 
     def complete_due_attempts(self, schedule_version: int) -> None:
+        """Complete what is due, unless completions were rescheduled since this call was scheduled."""
         if schedule_version != self.schedule_version:
             return
         self.advance_work()
@@ -269,7 +278,7 @@
         self.reschedule_completion()
 
     def abandon_attempt(self, attempt: Attempt, cancel_running: bool) -> None:
-        """Nobody waits for it any more: waiting work goes, running work where the day says so."""
+        """The node no longer waits: remove a queued attempt, and one in service if `cancel_running`."""
         if attempt.state == 0:
             attempt.state = 3
         elif attempt.state == 1:
@@ -284,7 +293,7 @@
     # Connections.
 
     def acquire_connection(self, node: int, idle_ms: float) -> bool | None:
-        """A connection for an attempt: False an idle one, True a new one, None no room."""
+        """Get a connection: False if an idle one is reused, True if it is new, None at the limit."""
         now = self.engine.now
         idle_since = self.idle_connections.get(node)
         while idle_since:
@@ -300,15 +309,16 @@
         return True
 
     def release_connection(self, node: int, keep: bool) -> None:
+        """Give a connection back: to the idle ones if `keep`, else it is closed."""
         if keep and self.up:
             self.idle_connections.setdefault(node, []).append(self.engine.now)
         else:
             self.connection_count = max(0, self.connection_count - 1)
 
-    # Life.
+    # Process lifecycle.
 
     def stop_process(self) -> None:
-        """The process ends, with all that it holds."""
+        """The process ends; every request that it holds is reset."""
         self.advance_work()
         self.up = False
         interrupted = [entry[2] for entry in self.running if entry[2].state == 2]
@@ -323,7 +333,7 @@
         self.reschedule_completion()
 
     def start_process(self) -> None:
-        """A process starts, cold."""
+        """A new process starts, cold."""
         self.up, self.state, self.started_at = True, State.READY, max(self.engine.now, 1e-3)
         self.warmup_work_ms, self.throttled_at, self.overfull_since = 0.0, NEVER, NEVER
         self.recent_cold_work.clear()
@@ -332,7 +342,7 @@
         self.reschedule_completion()
 
     def check_cold_overload(self, work_ms: float) -> None:
-        """Work sent to a cold server within any stretch must stay under what would tip it."""
+        """Crash a cold server that was sent too much work within the last `tip_ms`."""
         now, recent_work = self.engine.now, self.recent_cold_work
         if self.warm_share() >= 1.0:
             recent_work.clear()
@@ -343,13 +353,13 @@
         while now - recent_work[0][0] > self.tip_ms:
             self.recent_cold_work_ms -= recent_work.popleft()[1]
         budget = self.tip_multiple * self.capacity * self.warm_share() * self.tip_ms
-        if self.recent_cold_work_ms > budget + 2 * work_ms:  # a little slack for chance
+        if self.recent_cold_work_ms > budget + 2 * work_ms:  # allowance for random variation
             self.work_totals.crashes.append((now, self.plan.number))
             self.stop_process()
             self.state = State.GONE
 
     def update_state(self) -> None:
-        """The sticky slowdown, and a pace that follows warmth."""
+        """Periodic update: start or end throttling, and adapt the service rate to the warm-up."""
         self.advance_work()
         busy_share, self.busy_ms = min(1.0, self.busy_ms / UPDATE_INTERVAL_MS), 0.0
         throttling, now = self.throttling, self.engine.now
--- a/flaxstep/simulator/revision_runner.py
+++ b/flaxstep/simulator/revision_runner.py
@@ -1,4 +1,4 @@
-"""Plays a day with the routing package of another revision, in a process of its own that runner.py starts."""
+"""Simulates a run with the routing package of another revision, in a process that runner.py starts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import flaxstep
 
-OLD_MODULE_NAMES = {  # today's modules of flaxstep.routing, and their names in the package cottonhall
+OLD_MODULE_NAMES = {  # modules of flaxstep.routing, and their names in the former package cottonhall
     "interface": "interface",
     "membership": "membership",
     "hash_ring": "ring",
--- a/flaxstep/simulator/runner.py
+++ b/flaxstep/simulator/runner.py
@@ -1,4 +1,4 @@
-"""Plays one day of a scenario with one module, of this checkout or of another revision."""
+"""Simulates one run of a scenario with the routing policy of this checkout or another one."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class NotPlayable(Exception):
-    """A module that can't be had: why, in one line."""
+    """The scenario can't be played with this policy; the message says why, in one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class PolicySource:
-    """A module to play with: how to make one for a node, and which events it knows."""
+    """A routing policy to simulate: how to make one for a node, and which events it knows."""
 
     name: str
     make_policy: PolicyFactory
@@ -46,7 +46,7 @@
 
 
 def find_policy(name: str) -> PolicySource:
-    """The module of the routing package that this process has loaded, or one of the baselines."""
+    """The policy of the routing package that this process has loaded, or one of the baselines."""
     if name == CURRENT_CHECKOUT or name.startswith("rev "):
         return PolicySource(name, make_current_policy, frozenset(vars(interface)))
     from flaxstep.simulator.baselines import BASELINES  # needs today's interface, which a revision may lack
@@ -54,15 +54,18 @@
     return PolicySource(name, BASELINES[name], frozenset({"Cordon", "Uncordon"}))
 
 
-def play_scenario(scenario: Scenario, seed: int, module: PolicySource) -> Run:
-    """One day. The same scenario, seed and module give the same result, to the byte."""
-    simulation = Simulation(scenario, seed, module.make_policy, module.knows_event)
+def play_scenario(scenario: Scenario, seed: int, policy_source: PolicySource) -> Run:
+    """Simulate one run. The same scenario, seed and policy give the same result, byte for byte."""
+    simulation = Simulation(scenario, seed, policy_source.make_policy, policy_source.knows_event)
     simulation.run(partial(start_happening, simulation))
-    return simulation.build_result(module.name)
+    return simulation.build_result(policy_source.name)
 
 
 def play_with_policy(policy: str, scenario: Scenario, path: Path, seed: int) -> Run:
-    """One day with a module by name. A revision's has a process of its own: its interface differs."""
+    """Simulate one run with a policy given by name.
+
+    The policy of a revision runs in a process of its own, as its interface differs.
+    """
     if scenario.rig.faults:
         raise NotPlayable(f"{path}: rig.faults: the lab has no links and processes; 'flaxstep rig play' has")
     from flaxstep.simulator.baselines import BASELINES
@@ -76,19 +79,20 @@
     completed = subprocess.run(command, env=environment, cwd=folder, capture_output=True, check=False)
     if completed.returncode:
         last = completed.stderr.decode(errors="replace").strip().splitlines()[-1:]
-        raise NotPlayable(f"{policy}: its module can't be played: {' '.join(last)}")
+        raise NotPlayable(f"{policy}: its policy can't be played: {' '.join(last)}")
     return msgspec.json.decode(completed.stdout, type=Run)
 
 
 def extract_revision(name: str) -> tuple[str, Path]:
-    """The commit that a name means, and a folder with its routing package; kept for the next time."""
+    """Resolve a revision to its commit and a folder with its routing package, kept for later runs."""
     commit = run_git("rev-parse", "--verify", "--quiet", f"{name}^{{commit}}").decode().strip()
     if not commit:
         raise NotPlayable(f"{name}: neither 'here', nor a baseline, nor a revision of this repository")
     folder = ROOT / "runs" / "modules" / commit
     if not folder.exists():
         archive = run_git("archive", "--format=tar", commit, "flaxstep/routing")
-        archive = archive or run_git("archive", "--format=tar", commit, "cottonhall")  # its earlier name
+        # Before it became flaxstep/routing the package was called cottonhall.
+        archive = archive or run_git("archive", "--format=tar", commit, "cottonhall")
         if not archive:
             raise NotPlayable(f"{name}: has neither flaxstep/routing nor cottonhall")
         unpacked = folder.with_name(f"{commit}.{os.getpid()}")
@@ -97,7 +101,7 @@
             tar.extractall(unpacked, filter="data")
         try:
             unpacked.rename(folder)
-        except OSError:  # another process was first
+        except OSError:  # another process created it first
             if not folder.exists():
                 raise
     return commit[:12], folder
@@ -111,5 +115,5 @@
 
 
 def encode_result(run: Run) -> bytes:
-    """The result file: JSON, keys in their order."""
+    """The content of the result file: JSON, keys in the order of the fields."""
     return msgspec.json.encode(run) + b"\n"
--- a/flaxstep/simulator/sampling.py
+++ b/flaxstep/simulator/sampling.py
@@ -1,4 +1,4 @@
-"""What a seed makes of a scenario: its servers' figures, its clients' first tries, its troubles."""
+"""Draws a run from a scenario and a seed: properties of the servers, first tries of the clients, troubles."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from flaxstep.simulator.job_servers import ServerPlan, ThrottlingPlan
 from flaxstep.simulator.scenario import Act, Scenario, Trouble
 
-NOISE_TABLE_SIZE = 1 << 14  # numbers in the table of noise that attempts look up; a power of two
+NOISE_TABLE_SIZE = 1 << 14  # factors per class, for the work of single attempts
 Floats = npt.NDArray[np.float64]
 
 
 def draw_value(generator: np.random.Generator, value: Range) -> float:
-    """A figure, or one from its range."""
+    """The number itself, or one drawn uniformly from the range."""
     return float(generator.uniform(*value)) if isinstance(value, tuple) else float(value)
 
 
 def lognormal(generator: np.random.Generator, cv: float, size: int) -> Floats:
-    """Numbers with mean 1 and the given spread."""
+    """Lognormal numbers with mean 1 and the given coefficient of variation."""
     if cv <= 0:
         return np.ones(size)
     sigma = np.sqrt(np.log1p(cv * cv))
@@ -31,7 +31,7 @@
 
 
 def split_by_shares(shares: list[float], total: int) -> list[int]:
-    """`total` things dealt out by shares, the largest remainders first."""
+    """Split `total` by shares into whole numbers, by the largest remainders."""
     whole = sum(shares)
     exact = [total * share / whole for share in shares]
     parts = [int(part) for part in exact]
@@ -43,25 +43,25 @@
 
 @dataclass(slots=True)
 class Happening:
-    """A trouble or an act with its figures; times in ms."""
+    """A trouble or an act with its drawn values. Times in ms; `size` and `extra` depend on the name."""
 
     name: str
     at: float
     length: float
-    part: float = 0.0
+    part: float = 0.0  # share of the servers or nodes
     size: float = 1.0
     extra: float = 1.0
     steps: int = 1
-    first: int = 0
+    first: int = 0  # number of the first server or node of an act
     count: int = 0
-    seed: int = 0  # of its own stream
+    seed: int = 0  # of its own random stream
 
 
 @dataclass(slots=True)
 class FirstTries:
-    """The first tries of a day, in order of time: columns of equal length."""
+    """The first tries of a run in order of arrival, as columns of equal length."""
 
-    at: list[float]
+    at: list[float]  # arrival, ms
     cls: list[int]
     tenant: list[int]
     zone: list[int]
@@ -70,19 +70,19 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A day, drawn."""
+    """Everything that a seed determines about a run."""
 
     seed: int
     length: float  # ms
     servers: list[ServerPlan]
-    node_zones: list[int]
+    node_zones: list[int]  # by node
     choke: ThrottlingPlan
-    figures: dict[str, float]  # of the network, clients, front and discovery
+    figures: dict[str, float]  # by TABLE.KEY, of the tables net, conn, clients, front and discovery
     troubles: list[Happening]
     acts: list[Happening]
     tries: FirstTries
-    quotas: list[float]  # a second, of all nodes
-    noise: list[list[float]]  # by class: factors of attempts' work
+    quotas: list[float]  # by tenant: requests per second, over all nodes
+    noise: list[list[float]]  # by class: factors for the work of attempts
 
 
 def draw_plan(scenario: Scenario, seed: int) -> Plan:
@@ -190,14 +190,17 @@
     length: float,
     bursts: list[Happening],
 ) -> tuple[FirstTries, list[float]]:
-    """Arrivals of a day: Poisson, with a slow wave and bursts, dealt out over classes, tenants and zones."""
+    """Arrivals: a Poisson process with a slow wave and bursts, split over classes, tenants and zones.
+
+    Returns the first tries and the quota of each tenant.
+    """
     generator, load = streams.generator("arrivals"), scenario.load
-    capacity = sum(plan.cores * plan.speed for plan in servers)  # ms of work a ms
+    capacity = sum(plan.cores * plan.speed for plan in servers)  # ms of work per ms
     works = [draw_value(generator, c.work_ms) for c in scenario.classes]
     spreads = [draw_value(generator, c.cv) for c in scenario.classes]
     class_part = np.array([c.share for c in scenario.classes]) / sum(c.share for c in scenario.classes)
     mean_work = float(np.dot(class_part, works))
-    rate = draw_value(generator, load.of_capacity) * capacity / mean_work  # a ms
+    rate = draw_value(generator, load.of_capacity) * capacity / mean_work  # per ms
     quota = draw_value(generator, load.quota_of_capacity) * capacity / mean_work * 1000
     swing, period = draw_value(generator, load.swing), 1000 * draw_value(generator, load.wave_s)
     phase = float(generator.uniform(0, 2 * np.pi))
--- a/flaxstep/simulator/scenario.py
+++ b/flaxstep/simulator/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files: what a day is made of, as TOML. A figure may be a range, from which each seed draws.
+"""Scenario files: the description of a run, as TOML. Most numbers may be a range, from which each seed draws.
 
-Whatever is wrong with a file is one line, with the key and what is allowed there.
+An error in a file is reported in one line, with the key and what is allowed there.
 """
 
 from __future__ import annotations
@@ -24,112 +24,112 @@
     """A model of job server."""
 
     name: str
-    share: Natural  # of the fleet, compared with the other kinds'
+    share: Natural  # weight among the kinds: how much of the fleet is of this one
     cores: Annotated[int, Meta(ge=1)] = 1
-    speed: Range = 1.0  # of a core, beside the standard core
-    speed_cv: Range = 0.1  # spread between servers of the kind
-    slots_per_core: Range = (2, 6)  # requests in work at once; more wait
-    queue_per_core: Range = (230, 760)  # waiting room; beyond it requests are turned away
-    thrash: Range = (0.12, 0.25)  # efficiency lost for each multiple of `thrash_at` held beyond it
-    thrash_at: Range = (6.4, 14)  # held per core
-    cold_from: Range = (0.12, 0.35)  # capacity at the start, as a part of the whole
-    cold_s: Range = (10, 24)  # of work at full capacity that warm it
-    error_rate: Range = (0, 0.002)
+    speed: Range = 1.0  # of a core, relative to the standard core
+    speed_cv: Range = 0.1  # coefficient of variation between servers of the kind
+    slots_per_core: Range = (2, 6)  # requests in service at once; more wait
+    queue_per_core: Range = (230, 760)  # requests that may wait; more are rejected
+    thrash: Range = (0.12, 0.25)  # efficiency lost for each further multiple of `thrash_at` held
+    thrash_at: Range = (6.4, 14)  # requests held per core from which efficiency falls
+    cold_from: Range = (0.12, 0.35)  # capacity at a cold start, as a share of the full one
+    cold_s: Range = (10, 24)  # work until it is warm, in s at full capacity
+    error_rate: Range = (0, 0.002)  # share of the requests
 
 
 class Class(Table, frozen=True):
     """A class of requests."""
 
     name: str
-    share: Natural  # of the requests, compared with the other classes'
+    share: Natural  # weight among the classes: how many of the requests are of this one
     work_ms: Range  # on a standard core
     aim_ms: Positive
     deadline_ms: Positive
     worth: Natural
     effect: Literal["safe", "keyed", "unsafe"]
-    late_worth: Part = 0.0
-    cv: Range = (0.3, 0.7)  # spread of the work, lognormal; 0: all alike
-    attempt_noise: Range = (0.05, 0.4)  # spread between attempts of one request
-    group: Literal["all", "zone", "cell"] = "all"
-    window_ms: Natural = 0.0
+    late_worth: Part = 0.0  # share of the worth for a response between aim and deadline
+    cv: Range = (0.3, 0.7)  # coefficient of variation of the work, lognormal; 0: all alike
+    attempt_noise: Range = (0.05, 0.4)  # coefficient of variation between attempts of one request
+    group: Literal["all", "zone", "cell"] = "all"  # keyed: the servers that drop each other's repeats
+    window_ms: Natural = 0.0  # keyed: how long repeats are dropped
 
 
 class Tenant(Table, frozen=True):
-    """A project and its share of the service."""
+    """A tenant and its share of the quota."""
 
     name: str
     share: Part
-    usage: Range = 1.0  # what it asks for, beside its share
+    usage: Range = 1.0  # what it requests, relative to its share
 
 
 class Fleet(Table, frozen=True):
-    """How many there are."""
+    """Numbers of nodes, servers and zones."""
 
     nodes: Annotated[int, Meta(ge=1, le=2000)] = 3
     servers: Annotated[int, Meta(ge=1, le=2000)] = 9
     zones: Annotated[int, Meta(ge=1, le=16)] = 3
-    cell_size: Range = (3, 5)
+    cell_size: Range = (3, 5)  # servers per cell
     server_skew: Range = (0.1, 0.4)  # how unevenly servers are spread over the zones
 
 
 class Load(Table, frozen=True):
-    """What first tries ask of the fleet, beside what it can do when all of it is warm."""
+    """The load of first tries, relative to the capacity of the fleet when all servers are warm."""
 
     of_capacity: Range = (0.53, 0.7)
-    swing: Range = (0.17, 0.38)  # of the slow wave
-    wave_s: Range = (15, 30)
-    zone_skew: Range = (0.25, 0.6)
-    quota_of_capacity: Range = (0.75, 0.94)
-    over_share_worth: Part = 0.1
+    swing: Range = (0.17, 0.38)  # amplitude of the slow wave of the load
+    wave_s: Range = (15, 30)  # its period
+    zone_skew: Range = (0.25, 0.6)  # how unevenly clients are spread over the zones
+    quota_of_capacity: Range = (0.75, 0.94)  # all tenants' quotas together
+    over_share_worth: Part = 0.1  # share of the worth that a request beyond its tenant's quota has
 
 
 class Net(Table, frozen=True):
-    """One-way times in ms."""
+    """One-way network delays: within a zone, across zones, and between client and node."""
 
     same_ms: Range = (0.11, 0.26)
     cross_ms: Range = (1.4, 2.6)
     client_ms: Range = (0.22, 1.1)
-    jitter: Range = (0.057, 0.31)
+    jitter: Range = (0.057, 0.31)  # largest deviation, as a share of the delay
 
 
 class Conn(Table, frozen=True):
     """Connections to job servers."""
 
     handshake_rtts: Range = (2, 3)
-    handshake_us: Range = (490, 1500)
-    idle_s: Positive = 30
+    handshake_us: Range = (490, 1500)  # work of the server
+    idle_s: Positive = 30  # idle connections are closed after this
     dial_timeout_ms: Positive = 100
-    cap_per_core: Range = (600, 900)
-    full_tax: Range = (0.22, 0.36)
+    cap_per_core: Range = (600, 900)  # most connections
+    full_tax: Range = (0.22, 0.36)  # share of the speed lost when all connections are in use
 
 
 class Clients(Table, frozen=True):
-    """How clients try."""
+    """How clients retry."""
 
-    retries: Range = (3, 4.99)
-    try_share: Range = (0.3, 0.55)  # of the deadline, after which a try is given up
+    retries: Range = (3, 4.99)  # at most; rounded down
+    try_share: Range = (0.3, 0.55)  # share of the deadline after which a client gives up a try
     backoff_ms: Range = (0, 80)
-    honour: Range = (0.04, 0.35)  # the part that honours Retry-After
+    honour: Range = (0.04, 0.35)  # share of the clients that honour Retry-After
     max_retry_after_ms: Natural = 600
 
 
 class Front(Table, frozen=True):
-    """What deals clients out over nodes."""
+    """The load balancer in front of the nodes."""
 
-    notice_s: Range = (1.6, 3.9)  # until a dead node gets no more clients
-    health_s: Positive = 0.3  # until one that says no gets none
+    notice_s: Range = (1.6, 3.9)  # until a killed node gets no more clients
+    health_s: Positive = 0.3  # until a node with a failing health check gets none
 
 
 class Listing(Table, frozen=True):
-    """Discovery."""
+    """The discovery service."""
 
     mode: Literal["ask", "push"] = "ask"
-    notice_s: Range = (0.94, 4.2)
+    notice_s: Range = (0.94, 4.2)  # until it notices that a server has gone
     silent_notice_s: Range = (4.4, 11)
-    add_s: Range = (0.64, 2.2)
-    spread_ms: Range = (50, 590)
-    capacity: Range = (3, 5.8)  # calls that it answers at once
-    call_ms: Range = (20, 120)
+    add_s: Range = (0.64, 2.2)  # until it lists a server that has started
+    spread_ms: Range = (50, 590)  # largest delay of a change on its way to a node
+    capacity: Range = (3, 5.8)  # calls served at once; rounded down
+    call_ms: Range = (20, 120)  # service time of a call
     timeout_ms: Positive = 3000
 
 
@@ -138,36 +138,38 @@
 
     allowed: bool = True
     delay_ms: Span = (1.7, 39)
-    lost: Part = 0.02
+    lost: Part = 0.02  # share of the datagrams
 
 
 class Choke(Table, frozen=True):
-    """The sticky slowdown of overfilled servers."""
+    """Throttling: overfilled servers slow down and stay slow until they have rested."""
 
-    share: Part = 0.6  # of the days have it
-    at: Span = (4, 7)  # waiting per core
-    over_s: Span = (1.5, 2.5)
-    slower: Span = (2.1, 3.4)
-    rest_s: Span = (2.2, 4.2)
-    below: Span = (0.25, 0.4)  # busy part that counts as mostly idle
-    most_s: Span = (16, 35)
-    price: Natural = 0.04
+    share: Part = 0.6  # share of the runs that have it
+    at: Span = (4, 7)  # requests waiting per core from which a server counts as overfilled
+    over_s: Span = (1.5, 2.5)  # how long until it is throttled
+    slower: Span = (2.1, 3.4)  # times as slow
+    rest_s: Span = (2.2, 4.2)  # how long it must be mostly idle to recover
+    below: Span = (0.25, 0.4)  # busy share that counts as mostly idle
+    most_s: Span = (16, 35)  # it recovers after this in any case
+    price: Natural = 0.04  # if all servers are throttled
 
 
 class Rules(Table, frozen=True):
-    """The figures of the four rules."""
+    """Limits of the four rules."""
 
-    answer_slack_ms: Natural = 70
-    drain_grace_ms: Natural = 500
+    answer_slack_ms: Natural = 70  # a final response may come this long after the client's time-out
+    drain_grace_ms: Natural = 500  # sends may go on this long after a server is listed as draining or gone
     cordon_grace_ms: Natural = 1000
-    tip_multiple: Positive = 2.5
-    tip_ms: Positive = 2000
-    ramp_ms: Positive = 24000
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.12
+    tip_multiple: Positive = 2.5  # a cold server crashes when sent this multiple of its capacity ...
+    tip_ms: Positive = 2000  # ... within this time
+    ramp_ms: Positive = 24000  # a cold server is warm after this at the latest
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.12  # least capacity of a cold server, as a share
     max_attempts: Annotated[int, Meta(ge=1)] = 3
 
 
 class Prices(Table, frozen=True):
+    """What is subtracted from the score: per first try, or per share of the work or worth."""
+
     cross_zone: Natural = 0.017
     waste: Natural = 0.1
     probe: Natural = 0.01
@@ -176,6 +178,8 @@
 
 
 class Goal(Table, frozen=True):
+    """Weights of the served shares in the score: of the whole run and of its worst parts."""
+
     whole: Part = 0.35
     worst_window: Part = 0.35
     worst_class: Part = 0.2
@@ -183,7 +187,12 @@
 
 
 class Trouble(Table, frozen=True):
-    """Something that goes wrong, from `at_s` for `len_s`, on `part` of the servers (or nodes)."""
+    """A trouble: from `at_s` for `len_s`, on the share `part` of the servers (or nodes).
+
+    What `size` means: slow: times; fast_errors, lost, resets, neighbour: a share; pauses: ms; burst: times.
+    What `extra` means, in s: pauses: between two; neighbour: on or off; burst: of rise; kill: until back;
+    replace: for which servers that leave still run (3 at least, on the rig).
+    """
 
     name: Literal[
         "slow", "fast_errors", "pauses", "neighbour", "burst", "lost", "resets", "cut", "replace", "kill"
@@ -191,35 +200,35 @@
     at_s: Range
     len_s: Range = 0.0
     part: Range = 0.2
-    size: Range = 1.0  # slow: times; errors, lost, resets, neighbour: the part; pauses: ms; burst: times
-    extra: Range = (
-        1.0  # pauses: s between; neighbour: s on or off; burst: s of rise; kill: s until back; replace:
-    )
-    # s (3 at least, on the rig) for which those that leave still run
-    steps: Annotated[int, Meta(ge=1)] = 1  # replace, kill: in so many steps over len_s
+    size: Range = 1.0
+    extra: Range = 1.0
+    steps: Annotated[int, Meta(ge=1)] = 1  # replace, kill: number of steps over len_s
 
 
 class Act(Table, frozen=True):
-    """What operators do: `cordon` takes servers out and restarts them, `quiesce` empties nodes, `upgrade`
-    starts a second process of a node and ends the first."""
+    """An act of operators.
+
+    `cordon` cordons servers and restarts them, `quiesce` drains nodes of clients, `upgrade` starts a second
+    process of a node and ends the first one, `restart` stops and starts nodes one after the other.
+    """
 
     name: Literal["cordon", "quiesce", "upgrade", "restart"]
     at_s: Range
-    for_s: Range = 5.0  # until the call back, or the end of the old process
+    for_s: Range = 5.0  # cordon, quiesce: until undone; restart: until the last node
     count: Annotated[int, Meta(ge=1)] = 1
-    from_: Annotated[int, Meta(ge=0)] = msgspec.field(default=0, name="from")  # the first of them
+    from_: Annotated[int, Meta(ge=0)] = msgspec.field(default=0, name="from")  # first server or node
     down_s: Range = (0.5, 1.5)  # cordon, restart: how long the process is gone
 
 
 class Scenario(Table, frozen=True):
-    """A kind of day."""
+    """The whole scenario file."""
 
     name: str
     kinds: Annotated[list[Kind], Meta(min_length=1)]
     classes: Annotated[list[Class], Meta(min_length=1)]
     length_s: Range = (38, 50)
     tick_ms: Positive = 1.0
-    margin_ms: Natural = 10.0  # kept back by a node from a client's time
+    margin_ms: Natural = 10.0  # a node's deadline is this much before the client's
     fleet: Fleet = Fleet()
     load: Load = Load()
     net: Net = Net()
@@ -235,11 +244,11 @@
     tenants: list[Tenant] = []
     troubles: list[Trouble] = []
     acts: list[Act] = []
-    rig: FaultConfig = FaultConfig()  # what only processes and sockets have
+    rig: FaultConfig = FaultConfig()  # used by the rig only
 
 
 def read_scenario(path: Path) -> Scenario:
-    """The scenario of a file; ScenarioError, in one line, if it can't be played."""
+    """Read a scenario file. Raises ScenarioError, with one line, if it can't be played."""
     try:
         return parse_scenario(path.read_text())
     except OSError as error:
@@ -262,7 +271,7 @@
 
 
 def check(scenario: Scenario) -> None:
-    """What the types can't say: ranges the right way round, and parts that are there."""
+    """Check what the types can't: order of ranges, shares, and numbers of servers and nodes that exist."""
     for where, value in figures("", msgspec.to_builtins(scenario)):
         if min(value) < 0 or not max(value) < float("inf"):
             raise ScenarioError(f"{where}: a figure is at least 0 and finite, not {min(value):g}")
@@ -288,7 +297,7 @@
 
 
 def figures(where: str, value: Any) -> list[tuple[str, tuple[float, float]]]:
-    """Every figure and range of a scenario with its key."""
+    """Every number and range in a scenario, with its key."""
     if isinstance(value, int | float):
         return [(where, (float(value), float(value)))]
     if isinstance(value, dict):
--- a/flaxstep/simulator/scheduled_events.py
+++ b/flaxstep/simulator/scheduled_events.py
@@ -1,4 +1,7 @@
-"""What goes wrong in a day and what operators do in it: how each begins, and how it ends."""
+"""Troubles and operator acts of a run: how each starts and ends.
+
+A scenario names them; HAPPENING_HANDLERS has the function for each name.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 from flaxstep.simulator.simulated_node import SimulatedNode
 from flaxstep.simulator.simulation import Simulation
 
-OPERATOR_CALL_GAP_MS = 5.0  # between an operator's calls at one node and the next
-RESTART_DELAY_MS = 1000.0  # ms from the cordon to the restart of the server
-ACCEPT_AFTER_TERM_MS = 600.0  # ms for which a process that was told to end still takes what comes
-NODE_STARTUP_MS = 250.0  # ms from the start of a node's process to its yes
+OPERATOR_CALL_GAP_MS = 5.0  # from the call to one node to the call to the next
+RESTART_DELAY_MS = 1000.0  # from the cordon of a server to its restart
+ACCEPT_AFTER_TERM_MS = 600.0  # a terminated node process still accepts requests for this long
+NODE_STARTUP_MS = 250.0  # from the start of a node process until it reports ready
 
 
 def choose_servers(simulation: Simulation, happening: Happening) -> list[Server]:
-    """The part of the servers that a trouble meets, at least one."""
+    """Pick the servers that a trouble affects: its share of them, at least one."""
     generator = np.random.Generator(np.random.PCG64(happening.seed))
     count = max(1, round(happening.part * len(simulation.servers)))
     picked = generator.choice(len(simulation.servers), min(count, len(simulation.servers)), replace=False)
@@ -30,7 +33,7 @@
 def set_attribute_for(
     simulation: Simulation, happening: Happening, name: str, value: object, normal: object
 ) -> None:
-    """A figure of some servers is another for a while."""
+    """Set an attribute of the affected servers, and set it back when the trouble ends."""
 
     def set_attribute(servers: list[Server], figure: object) -> None:
         for server in servers:
@@ -60,7 +63,7 @@
 
 
 def pauses(simulation: Simulation, happening: Happening) -> None:
-    """Servers stand still, each at its own times."""
+    """Servers pause repeatedly, each at its own times."""
     uniform = simulation.streams.uniform(f"pauses {happening.seed}")
     end = simulation.engine.now + happening.length
 
@@ -80,7 +83,7 @@
 
 
 def neighbour(simulation: Simulation, happening: Happening) -> None:
-    """Another program takes a part of the machine, on and off."""
+    """Another program uses a share of the machine, on and off."""
     uniform = simulation.streams.uniform(f"neighbour {happening.seed}")
     end = simulation.engine.now + happening.length
 
@@ -99,18 +102,18 @@
 
 
 def burst(_: Simulation, __: Happening) -> None:
-    """In the arrivals already."""
+    """Nothing to do: draw_first_tries puts bursts into the arrivals."""
 
 
 def cut(simulation: Simulation, happening: Happening) -> None:
-    """A zone is cut off from the others."""
+    """One zone is partitioned from the others."""
     zone = happening.seed % simulation.scenario.fleet.zones
     simulation.partitioned_zones.add(zone)
     simulation.engine.call_after(happening.length, simulation.partitioned_zones.discard, zone)
 
 
 def restart_server(simulation: Simulation, server: Server, down: float) -> None:
-    """Its process ends and starts again, cold; discovery hears of both, late."""
+    """A server's process ends and starts again, cold. Discovery notices late, and no short outage."""
     figures = simulation.plan.figures
     server.stop_process()
     server.state = State.GONE
@@ -125,7 +128,7 @@
 
 
 def replace(simulation: Simulation, happening: Happening) -> None:
-    """Servers drain, end and start again, in steps."""
+    """Servers drain, stop and start again, in steps."""
     servers = choose_servers(simulation, happening)
     notice_ms = 1000 * simulation.plan.figures["discovery.notice_s"]
 
@@ -141,7 +144,7 @@
 
 
 def kill(simulation: Simulation, happening: Happening) -> None:
-    """Nodes die, in steps, and start again after a while; the front notices late."""
+    """Nodes are killed, in steps, and start again after a while. The front balancer notices late."""
     generator = np.random.Generator(np.random.PCG64(happening.seed))
     count = max(1, round(happening.part * len(simulation.processes)))
     nodes = sorted(generator.choice(len(simulation.processes), count, replace=False).tolist())
@@ -151,6 +154,7 @@
 
 
 def crash_node(simulation: Simulation, node: int, down: float) -> None:
+    """A node's processes end at once; a new one starts after `down` ms."""
     for process in list(simulation.processes[node]):
         simulation.end_process(process)
     notice_ms = 1000 * simulation.plan.figures["front.notice_s"]
@@ -164,11 +168,11 @@
     simulation.engine.call_after(down, start_again)
 
 
-# What operators do.
+# Operator acts.
 
 
 def cordon(simulation: Simulation, happening: Happening) -> None:
-    """Servers are taken out at every node, restarted, and called back."""
+    """Servers are cordoned at every node, restarted, and uncordoned."""
     for server in simulation.servers[happening.first : happening.first + happening.count]:
         for node in range(len(simulation.processes)):
             simulation.engine.call_after(
@@ -189,12 +193,13 @@
 
 
 def call_processes(simulation: Simulation, node: int, call: Callable[[SimulatedNode], None]) -> None:
+    """Apply a call to each process of a node."""
     for process in simulation.processes[node]:
         call(process)
 
 
 def quiesce(simulation: Simulation, happening: Happening) -> None:
-    """Nodes are emptied and called back."""
+    """Nodes are drained of clients and then resumed."""
     health_check_ms = 1000 * simulation.scenario.front.health_s
     for node in range(happening.first, happening.first + happening.count):
         call_processes(simulation, node, lambda process: process.dispatch_if_known("Drain", True))
@@ -210,7 +215,7 @@
 
 
 def upgrade(simulation: Simulation, happening: Happening) -> None:
-    """A second process of a node starts; when it is ready the first is told to end."""
+    """A second process of a node starts; when it is ready the first one is told to stop."""
     for node in range(happening.first, happening.first + happening.count):
         old = list(simulation.processes[node])
         new = simulation.start_process(node)
@@ -221,6 +226,7 @@
 
 
 def stop_processes(simulation: Simulation, processes: list[SimulatedNode]) -> None:
+    """Give processes no new requests, and end them after the longest deadline."""
     for process in processes:
         process.stopping = True
         longest_deadline_ms = max(c.deadline_ms for c in simulation.scenario.classes)
@@ -228,7 +234,7 @@
 
 
 def restart(simulation: Simulation, happening: Happening) -> None:
-    """Nodes are told to end one after the other, and start again."""
+    """Nodes are stopped gracefully one after the other, and start again."""
     for i in range(happening.count):
         simulation.engine.call_after(
             happening.length * i / happening.count,
@@ -266,4 +272,5 @@
 
 
 def start_happening(simulation: Simulation, happening: Happening) -> None:
+    """Start a trouble or an act, now."""
     HAPPENING_HANDLERS[happening.name](simulation, happening)
--- a/flaxstep/simulator/scoring.py
+++ b/flaxstep/simulator/scoring.py
@@ -1,4 +1,4 @@
-"""The judge of a day: worth served, prices, and the four rules of WIRE, each breach with time and place."""
+"""Scores a run: worth served, costs, and breaches of the four rules of WIRE with their time and place."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from flaxstep.simulator.scenario import Scenario
 
-WINDOW_S = 10  # s of the worst stretch
-MAX_DETAILED_BREACHES_PER_RULE = 50  # of a rule that are kept with their details; the rest are counted
+WINDOW_S = 10  # length of the worst window that is looked for
+MAX_DETAILED_BREACHES_PER_RULE = 50  # further ones are only counted
 
 
 class Breach(msgspec.Struct, frozen=True):
-    """A broken rule: which, when (ms), where."""
+    """A broken rule: which one, when (`at`, ms), and at which node, request and server (-1: none)."""
 
     rule: str
     at: float
@@ -24,7 +24,12 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What a day came to. Worths are parts of what was asked for; prices are parts of G."""
+    """The score of a run.
+
+    `g` is the weighted sum of the served shares, minus the prices. `served`, `worst_*`, `classes` and
+    `tenants` are shares of the worth that was requested. `worst_window` is the lowest share in any window of
+    10 s, `worst_from` the second in which that window begins. `prices` are the amounts subtracted from `g`.
+    """
 
     g: float
     served: float
@@ -40,23 +45,25 @@
 
 @dataclass(slots=True)
 class CostCounters:
-    """What is paid for, counted as it happens."""
+    """Counts from which the prices are computed."""
 
     attempts: int = 0
-    cross_zone_attempts: int = 0  # attempts that crossed zones
+    cross_zone_attempts: int = 0
     probes: int = 0
     peer_bytes: int = 0
-    late_unserved_worth: float = 0.0  # worth that ended unserved after its aim
+    late_unserved_worth: float = 0.0  # of requests that ended unserved after their aim
     requested_work_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class Scorer:
+    """Collects what happens in a run and computes its verdict."""
+
     scenario: Scenario
     seconds: int
-    asked: list[float] = field(default_factory=list)  # worth by second of the first try
-    earned: list[float] = field(default_factory=list)
-    by_class: list[list[float]] = field(default_factory=list)  # asked, earned
+    asked: list[float] = field(default_factory=list)  # worth requested, by second of the first try
+    earned: list[float] = field(default_factory=list)  # worth served, by second of the first try
+    by_class: list[list[float]] = field(default_factory=list)  # worth requested and served
     by_tenant: list[list[float]] = field(default_factory=list)
     refused: list[int] = field(default_factory=list)  # by second
     failed: list[int] = field(default_factory=list)
@@ -80,7 +87,7 @@
             self.breaches.append(Breach(rule, round(at, 3), node, request, server, what))
 
     def record_request(self, second: int, cls: int, tenant: int, worth: float, within_quota: bool) -> None:
-        """A first try asks for its worth; beyond its tenant's share it counts for no tenant."""
+        """Add the worth of a first try. Beyond its tenant's quota it doesn't count for the tenant."""
         self.first_tries += 1
         self.asked[second] += worth
         self.by_class[cls][0] += worth
@@ -94,7 +101,7 @@
             self.by_tenant[tenant][1] += worth
 
     def compute_verdict(self, useful_ms: float, done_ms: float, throttled_share: float) -> Verdict:
-        """The day's result; `choked` is the part of the servers that the sticky slowdown met."""
+        """The verdict; `throttled_share` is the share of the servers that were ever throttled."""
         goal, prices, counters = self.scenario.goal, self.scenario.prices, self.counters
         asked, tries = sum(self.asked) or 1.0, max(self.first_tries, 1)
         served_share = sum(self.earned) / asked
--- a/flaxstep/simulator/simulated_node.py
+++ b/flaxstep/simulator/simulated_node.py
@@ -1,7 +1,7 @@
-"""A node of the model: hosts the module, unchanged, and turns its actions into what happens in the farm.
+"""A simulated node: hosts an unmodified routing policy and carries out its actions in virtual time.
 
-What the real node does in `flaxstep/proxy/node.py` with sockets, this does with calls in virtual time. It
-decides nothing. It also watches the rules from outside, as the bench does.
+It stands in for `flaxstep/proxy/node.py`: scheduled calls replace sockets, and all routing decisions are the
+policy's. It also checks from the outside that the policy keeps the rules, and records each breach.
 """
 
 from __future__ import annotations
@@ -30,36 +30,37 @@
 from flaxstep.simulator.scenario import Scenario
 from flaxstep.simulator.scoring import Scorer
 
-PROBE_TIMEOUT_MS = 120.0  # ms after which a probe has failed
+PROBE_TIMEOUT_MS = 120.0
 
 
 class RoutingPolicy(Protocol):
-    """What the lab needs of a module: `Policy` of any revision, or a baseline."""
+    """What the simulator needs from a routing policy: `Policy` of any revision, or a baseline."""
 
     def handle(self, now: float, event: Any) -> list[Any]: ...
 
 
 @dataclass(slots=True, eq=False)
 class ClientTry:
-    """One try of a client."""
+    """One try of a client: the first request or one of its retries."""
 
-    first_try: int  # its first try's place among the day's
-    number: int
+    first_try: int  # index of the client's first try in FirstTries
+    number: int  # 0 is the first try
     cls: int
     tenant: int
     zone: int
-    first_try_at: float  # of the first try
-    due: float
-    process: SimulatedNode | None = None
-    request_id: int = 0  # the process's number for it
+    first_try_at: float  # ms
+    due: float  # ms; the client gives up this try then
+    process: SimulatedNode | None = None  # that received it
+    request_id: int = 0  # unique within the process
     attempts_sent: int = 0
-    finished: bool = False  # answered or given up, for the client
-    open_attempts: dict[int, Attempt] = field(default_factory=dict)
+    finished: bool = False  # the client has a response or has given up
+    open_attempts: dict[int, Attempt] = field(default_factory=dict)  # by attempt number
+    # Attempts not proven never to have run, by attempt number: send time and attempt.
     may_have_run: dict[int, tuple[float, Attempt]] = field(default_factory=dict)
 
 
 class ClientCallbacks(Protocol):
-    """What a process tells the clients."""
+    """Callbacks through which a node process reports to the clients."""
 
     def on_served(self, request: ClientTry) -> None: ...
     def on_refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None: ...
@@ -69,19 +70,19 @@
 
 
 class ListService(Protocol):
-    """Discovery, as a process calls it."""
+    """The discovery service as a node process sees it."""
 
     def request_list(self, process: SimulatedNode) -> None: ...
 
 
 class PeerChannel(Protocol):
-    """The way to other nodes."""
+    """Sends datagrams to other nodes."""
 
     def send(self, sender: SimulatedNode, peer: int, data: bytes) -> None: ...
 
 
 class SimulationContext(Protocol):
-    """What a process meets round it: the day, the servers, the network, and those that it talks to."""
+    """What a node process uses of the simulation: scenario, servers, network, clients, discovery."""
 
     scenario: Scenario
     plan: Plan
@@ -91,7 +92,7 @@
     servers: list[Server]
     servers_by_id: dict[int, Server]
     logs: list[tuple[float, int, str]]
-    # A release counts what nodes see.
+    # Observers, set when a staged release is simulated.
     on_attempt: Callable[[SimulatedNode, Attempt, Result, float], None] | None
     on_request_finished: Callable[[SimulatedNode, int, int], None] | None
     client_latency_ms: float
@@ -116,17 +117,18 @@
 
 
 class SimulatedNode:
-    """One process of a node."""
+    """One process of a node. A node has two of them while it is upgraded."""
 
     def __init__(self, simulation: SimulationContext, node: int, seed: int) -> None:
         self.simulation, self.node, self.zone = simulation, node, simulation.plan.node_zones[node]
         self.alive, self.stopping = True, False
         self.open_requests: dict[int, ClientTry] = {}
-        self.open_attempts: dict[tuple[int, int], Attempt] = {}  # out, by request and number
+        self.open_attempts: dict[tuple[int, int], Attempt] = {}  # by request id and attempt number
         self.last_request_id = 0
         self.subscribed = False
-        self.listed_states: dict[int, tuple[State, float]] = {}  # by server: what it was told last, and when
-        self.cordoned_since: dict[int, float] = {}  # server: since when
+        # By server id: the state that the list last gave, and since when.
+        self.listed_states: dict[int, tuple[State, float]] = {}
+        self.cordoned_since: dict[int, float] = {}  # by server id
         self.policy: RoutingPolicy = simulation.make_policy(node, seed)
         self.action_handlers: dict[str, Callable[[Any], None]] = {
             "Send": self.send_attempt,
@@ -140,7 +142,7 @@
             "Log": self.append_log,
         }
 
-    # Events in, actions out.
+    # Events to the policy, actions from it.
 
     def dispatch_event(self, event: Any) -> None:
         for action in self.policy.handle(self.simulation.engine.now, event):
@@ -151,13 +153,13 @@
             self.dispatch_event(event)
 
     def dispatch_if_known(self, name: str, *values: Any) -> None:
-        """An event that older revisions' modules don't know is not for them."""
+        """Dispatch an event of interface.py by name, unless the policy is of a revision that lacks it."""
         event_type = getattr(interface, name, None)
         if event_type is not None and self.alive and self.simulation.knows_event(name):
             self.dispatch_event(event_type(*values))
 
     def on_request(self, request: ClientTry) -> None:
-        """A request has come whole."""
+        """A request has been received completely."""
         simulation = self.simulation
         if not self.alive:
             simulation.engine.call_after(
@@ -173,7 +175,7 @@
         self.dispatch_event(Request(request.request_id, request.cls, due, 0, request.tenant))
 
     def on_client_gone(self, request: ClientTry) -> None:
-        """The client has gone, or waits no longer."""
+        """The client has disconnected or no longer waits."""
         if not self.alive or self.open_requests.pop(request.request_id, None) is None:
             return
         simulation = self.simulation
@@ -189,7 +191,7 @@
         if request is None:
             return
         number, request.attempts_sent = request.attempts_sent, request.attempts_sent + 1
-        if number >= simulation.scenario.rules.max_attempts:  # moot, as WIRE has it: never sent
+        if number >= simulation.scenario.rules.max_attempts:  # not sent, as WIRE requires
             outcome = Outcome(request.request_id, action.server, False, Result.NOT_SENT, number, 0.0)
             simulation.engine.call_after(simulation.scenario.tick_ms, self.dispatch_if_alive, outcome)
             return
@@ -235,6 +237,7 @@
         simulation.engine.call_after(one_way_ms, server.on_arrival, attempt)
 
     def check_send_rules(self, request: ClientTry, server_id: int) -> None:
+        """Record a breach if this send breaks a rule: second copy, drain, cordon or duplicate."""
         simulation, now = self.simulation, self.simulation.engine.now
         rules = simulation.scenario.rules
         if request.open_attempts:
@@ -298,7 +301,7 @@
             )
 
     def report_request_end(self, request: ClientTry, result_index: int) -> None:
-        """A request was served (0), refused (1) or failed (2)."""
+        """Tell the observer that a request was served (0), refused (1) or failed (2)."""
         if self.simulation.on_request_finished is not None:
             self.simulation.on_request_finished(self, request.cls, result_index)
 
@@ -345,12 +348,13 @@
             self.abandon_attempt(attempt, Result.TIMEOUT)
 
     def abandon_attempt(self, attempt: Attempt, result: Result) -> None:
+        """Stop waiting for an attempt, and tell its server."""
         server = self.simulation.servers[attempt.server]
         server.abandon_attempt(attempt, self.simulation.cancel_running)
         self.on_attempt_outcome(attempt, result)
 
     def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None:
-        """An attempt has its outcome, as the node sees it."""
+        """An attempt has ended with this result, as the node sees it."""
         if attempt.has_outcome:
             return
         attempt.has_outcome = True
@@ -381,9 +385,10 @@
             Outcome(attempt.request_id, server.id, request_over, result, attempt.number, elapsed)
         )
 
-    # Lists, operators and the end.
+    # Server lists, operator calls, and the end of the process.
 
     def on_server_list(self, kind: ListKind, version: int, entries: list[ServerEntry]) -> None:
+        """A server list, or changes to it, have come from discovery."""
         if not self.alive:
             return
         now = self.simulation.engine.now
@@ -412,7 +417,7 @@
             self.dispatch_if_known("Uncordon", server, self.simulation.engine.now)
 
     def kill(self) -> None:
-        """Killed: clients see their connections reset, job servers see them closed."""
+        """The process is killed: clients see their connections reset, job servers see theirs closed."""
         self.alive = False
         simulation = self.simulation
         for attempt in self.open_attempts.values():
--- a/flaxstep/simulator/simulation.py
+++ b/flaxstep/simulator/simulation.py
@@ -1,4 +1,4 @@
-"""The farm of the model, joined: clients and their front, discovery, datagrams between nodes."""
+"""The simulated farm: clients, the load balancer in front of the nodes, discovery, peer datagrams."""
 
 from __future__ import annotations
 
@@ -25,25 +25,29 @@
 from flaxstep.simulator.scoring import Breach, Scorer, Verdict
 from flaxstep.simulator.simulated_node import ClientTry, RoutingPolicy, SimulatedNode
 
-SAMPLE_INTERVAL_MS = 250.0  # ms between samples of what nodes believe and what is true
-RUN_ON_MS = 3000.0  # ms for which a day runs on, until all is answered
-ALL_PEERS = 0xFFFF  # every peer
+SAMPLE_INTERVAL_MS = 250.0
+RUN_ON_MS = 3000.0  # the run goes on for this long after the last arrival, so that open requests end
+ALL_PEERS = 0xFFFF  # destination of a broadcast
 PolicyFactory = Callable[[Settings, int], RoutingPolicy]
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """The farm at one moment: what servers hold, and what each node believes."""
+    """The farm at one moment: the requests that servers hold, and the estimates of each node's policy."""
 
     at: float  # s
-    held: list[int]  # by server
-    choked: list[int]  # servers in the sticky slowdown
-    cold: list[int]
-    capacity: float  # requests of mean work a ms that the servers can do now, those out by hand left out
-    nodes: list[dict[str, float]]
+    held: list[int]  # requests held, by server
+    choked: list[int]  # numbers of the throttled servers
+    cold: list[int]  # numbers of the servers that are not warm
+    capacity: float  # requests of mean work per ms that the servers can do now, without cordoned ones
+    nodes: list[dict[str, float]]  # by node, see policy_figures
 
 
 class Outcomes(msgspec.Struct):
-    """What came of the tries, by class: of first tries the first four, of all tries the rest."""
+    """Outcomes of the tries, counted by class.
+
+    `in_time` (before the aim), `late` and `unserved` count clients, one each; `refused`, `failed` and
+    `given_up` (client time-out) count every try.
+    """
 
     in_time: list[int]
     late: list[int]
@@ -54,7 +58,7 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """What a play came to; its file is this, as JSON."""
+    """The result of a run, written as JSON to the result file."""
 
     scenario: str
     seed: int
@@ -64,20 +68,20 @@
     tries: int
     verdict: Verdict
     outcomes: Outcomes
-    asked: list[float]  # worth by second of the first try
-    earned: list[float]
-    refused: list[int]
-    failed: list[int]
-    choked: int
-    fallen: list[tuple[float, int]]
-    happenings: list[tuple[str, float, float]]  # what, from s, to s
+    asked: list[float]  # worth requested, by second of the first try
+    earned: list[float]  # worth served, by second of the first try
+    refused: list[int]  # responses, by second
+    failed: list[int]  # likewise
+    choked: int  # servers that were ever throttled
+    fallen: list[tuple[float, int]]  # crashes of cold servers: time in ms, server number
+    happenings: list[tuple[str, float, float]]  # name, start and end in s
     breaches: list[Breach]
     samples: list[Sample]
     logs: list[tuple[float, int, str]]
 
 
 class FrontBalancer:
-    """Deals tries out over the nodes of a zone that it thinks are there."""
+    """The load balancer before the nodes: spreads tries over the nodes of a zone that it believes are up."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
@@ -101,14 +105,14 @@
         nodes = self.nodes_by_zone[request.zone] or self.nodes_up
         if not nodes:
             return None
-        # By its place in the day, so that two policies meet the same traffic.
+        # By the index of the first try, so that the spread is the same under any policy.
         spread = (request.first_try * 2654435761 + request.number * 40503) >> 7
         processes = [p for p in self.simulation.processes[nodes[spread % len(nodes)]] if not p.stopping]
         return processes[spread % len(processes)] if processes else None
 
 
 class Clients:
-    """Sends the day's first tries, open loop, and tries again as clients do."""
+    """Sends the first tries of the run (open loop) and the retries of the clients."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
@@ -116,7 +120,7 @@
         self.try_share, self.backoff_ms = figures["clients.try_share"], figures["clients.backoff_ms"]
         self.max_retries, self.honour_share = figures["clients.retries"], figures["clients.honour"]
         self.next_first_try = 0
-        self.bucket_levels = [0.0] * len(simulation.plan.quotas)  # buckets of the tenants' shares, 1 s deep
+        self.bucket_levels = [0.0] * len(simulation.plan.quotas)  # a leaky bucket per tenant, 1 s deep
         self.bucket_updated_at = [0.0] * len(simulation.plan.quotas)
         self.within_quota: dict[int, bool] = {}
         none = [0] * len(simulation.scenario.classes)
@@ -129,7 +133,7 @@
 
     def send_first_try(self) -> None:
         i, tries, simulation = self.next_first_try, self.simulation.plan.tries, self.simulation
-        if i == len(tries.at):  # stopped meanwhile
+        if i == len(tries.at):  # stop_first_tries was called meanwhile
             return
         self.next_first_try += 1
         self.schedule_first_try()
@@ -149,7 +153,7 @@
         self.begin_try(i, 0, now)
 
     def stop_first_tries(self) -> None:
-        """No further first tries."""
+        """Send no further first tries."""
         self.next_first_try = len(self.simulation.plan.tries.at)
 
     def worth_of(self, i: int) -> float:
@@ -214,7 +218,7 @@
         self.schedule_retry(request, max(self.backoff_ms, wait) if honours_header else self.backoff_ms)
 
     def on_failed(self, request: ClientTry) -> None:
-        """Clients try a failed request again only where a repeat does no harm."""
+        """Clients retry a failed request only where a repeat does no harm."""
         if request.finished:
             return
         simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
@@ -235,7 +239,7 @@
     on_cut_off = on_failed
 
     def schedule_retry(self, request: ClientTry, wait: float) -> None:
-        """The next try of a client whose last one proves that it never ran."""
+        """Schedule a client's next try, unless its retries or its deadline are used up."""
         simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
         request.finished = True
         if (
@@ -257,7 +261,7 @@
 
 
 class Discovery:
-    """The server list: late, and one service for all nodes."""
+    """The discovery service: one for all nodes. It learns of changes late and answers few calls at once."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
@@ -278,7 +282,7 @@
         )
 
     def request_list(self, process: SimulatedNode) -> None:
-        """A node asks for the list and its changes."""
+        """A node asks for the list and for later changes. The call waits for a free worker, or times out."""
         engine, listing = self.simulation.engine, self.simulation.scenario.discovery
         worker = min(range(len(self.worker_free_at)), key=self.worker_free_at.__getitem__)
         starts_at = max(self.worker_free_at[worker], engine.now)
@@ -295,7 +299,7 @@
             process.on_server_list(ListKind.FULL, self.version, list(self.entries.values()))
 
     def schedule_update(self, server: Server, state: State, delay_ms: float) -> None:
-        """Something has become of a server's process; discovery notices later."""
+        """A server's state has changed; discovery notices it after a delay."""
         self.simulation.engine.call_after(delay_ms, self.publish_update, self.make_entry(server, state))
 
     def publish_update(self, entry: ServerEntry) -> None:
@@ -313,7 +317,7 @@
 
 
 class PeerNetwork:
-    """Datagrams between nodes, late or lost."""
+    """Datagrams between nodes, delayed or lost."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
@@ -322,7 +326,7 @@
     def send(self, sender: SimulatedNode, peer: int, data: bytes) -> None:
         simulation, peers = self.simulation, self.simulation.scenario.peers
         if len(data) > 256:
-            raise ValueError(f"a datagram of {len(data)} bytes")
+            raise ValueError(f"a datagram has {len(data)} bytes, at most 256 are allowed")
         targets = range(len(simulation.processes)) if peer == ALL_PEERS else (peer,)
         for target in targets:
             if target == sender.node and peer == ALL_PEERS:
@@ -339,7 +343,7 @@
 
 
 class Simulation:
-    """A day of the farm, ready to be played once."""
+    """One run of a scenario, ready to be run once."""
 
     def __init__(
         self, scenario: Scenario, seed: int, policy_factory: PolicyFactory, knows_event: Callable[[str], bool]
@@ -393,10 +397,10 @@
         for node in range(len(self.processes)):
             self.start_process(node)
 
-    # What the parts need of each other.
+    # What the parts of the simulation use of each other.
 
     def policy_settings(self, node: int) -> Settings:
-        """What the module is told, as the platform would."""
+        """The settings of a node's policy, limited to those that its revision knows."""
         scenario, rules = self.scenario, self.scenario.rules
         values: dict[str, Any] = {
             "classes": tuple(
@@ -432,7 +436,7 @@
         return Settings(**{name: value for name, value in values.items() if name in names})
 
     def knows_event(self, event: str) -> bool:
-        """Whether the module that plays knows an event."""
+        """Whether the policy knows an event of this name; older revisions lack some."""
         return self._knows_event(event)
 
     def make_policy(self, node: int, seed: int) -> RoutingPolicy:
@@ -442,7 +446,7 @@
         return policy
 
     def true_state(self) -> dict[int, tuple[float, float, float]]:
-        """The true state, for the baseline that sees: held, cores, ms for a request of mean work alone."""
+        """The true state, for the omniscient baseline; see TrueStateView."""
         return {
             s.id: (
                 s.requests_held,
@@ -454,7 +458,7 @@
 
     @staticmethod
     def current_capacity(server: Server) -> float:
-        """ms of standard work a ms that a server can do as it is now."""
+        """ms of standard work per ms that a server can do now."""
         if not server.up or server.paused:
             return 0.0
         slower = server.throttling.slower if server.is_throttled else 1.0
@@ -473,14 +477,14 @@
         )
 
     def deliver_result(self, attempt: Attempt, result: Result) -> None:
-        """A server has answered, or its connection broke."""
+        """Send a result back to the node, unless a partition drops it."""
         owner, plan = attempt.owner, self.servers[attempt.server].plan
         one_way_ms = self.one_way_delay(owner.zone, plan.zone)
         if not self.is_partitioned(owner.zone, plan.zone):
             self.engine.call_after(one_way_ms, owner.on_attempt_outcome, attempt, result)
 
     def honours_retry_after(self, first_try: int, part: float) -> bool:
-        """Whether the client of a first try heeds Retry-After; the same under any policy."""
+        """Whether the client of a first try honours Retry-After; the same under any policy."""
         return (first_try * 2246822519 >> 5) % 1000 < 1000 * part
 
     def record_breach(self, rule: str, node: int, request: ClientTry, server: int, what: str) -> None:
@@ -489,7 +493,7 @@
     # Processes of nodes.
 
     def start_process(self, node: int) -> SimulatedNode:
-        """A process of a node starts with the list as it stood long ago, and asks for it."""
+        """Start a process of a node, with a cached list; the policy asks discovery for a new one."""
         process = SimulatedNode(
             self, node, self.seeds[len(self.processes[node]) + 61 * node % len(self.seeds)]
         )
@@ -502,7 +506,7 @@
         if process in self.processes[process.node]:
             self.processes[process.node].remove(process)
 
-    # The day.
+    # The run.
 
     def run(self, start_happening: Callable[[Happening], None]) -> None:
         """Runs from the first try to the last response; `start_happening` starts each trouble or act."""
@@ -573,7 +577,7 @@
 
 
 def policy_figures(process: SimulatedNode) -> dict[str, float]:
-    """What a node's module believes, where it has such figures."""
+    """The estimates of a node's policy, those that it has, and the requests that the node holds."""
     policy = process.policy
     names = ("in_flight", "need", "x", "cut", "errors", "rate", "best_rate", "mean", "least", "warm")
     found = {name: getattr(policy, name, None) for name in names}
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -1,7 +1,7 @@
-"""A staged release in a day of the model: the real course, with looks and acts in virtual time.
+"""A staged release in a simulated run: the real release state machine, in virtual time.
 
-What `flaxstep/rollout/io` does with doors and commands, this does with calls into the world. A version
-differs by the figures that the rig's versions have.
+It stands in for `flaxstep/rollout/io`: calls into the simulation replace admin ports and commands. How a
+version differs is described by the same Figures as in the rig.
 """
 
 from __future__ import annotations
@@ -25,11 +25,14 @@
 from flaxstep.simulator.simulated_node import SimulatedNode
 from flaxstep.simulator.simulation import Simulation
 
-ADMIN_CALL_MS = 5.0  # a call at a door
+ADMIN_CALL_MS = 5.0
 
 
 class SimulatedRollout:
-    """A release of the world's job servers; `to` is how the version differs, `chance` when commands end."""
+    """A release to the simulated job servers.
+
+    `new_behaviour` is how the new version differs; `uniform` is the random stream for durations of commands.
+    """
 
     def __init__(
         self, simulation: Simulation, plan: Plan, new_behaviour: Figures, uniform: UniformStream
@@ -54,18 +57,18 @@
         self.state_machine = ReleaseStateMachine(plan, self.release, self.standings, admin_addresses)
         self.ended_at = float("inf")
         self.max_out = 0
-        self.halted_with = 0  # members that had the version when it was found bad
-        self.on_release_over: Callable[[], None] = lambda: None  # called when the release is over
+        self.halted_with = 0  # members on the new version when it was found bad
+        self.on_release_over: Callable[[], None] = lambda: None
         simulation.on_attempt, simulation.on_request_finished = (
             self.on_attempt_finished,
             self.on_request_finished,
         )
         simulation.engine.call_at(0.0, self.tick)
 
-    # What nodes count.
+    # Metrics of the nodes.
 
     def metrics_of(self, process: SimulatedNode) -> ServerMetrics:
-        """A process's figures of job servers, which begin anew where its list tells of a new start."""
+        """A process's metrics of job servers; those of a server are reset when the list shows a new start."""
         metrics = self.metrics.get(process)
         if metrics is None:
             metrics = self.metrics[process] = ServerMetrics(self.classes)
@@ -85,7 +88,7 @@
         counts = self.request_counts.setdefault(process, [[0, 0, 0] for _ in self.classes])
         counts[cls][result_index] += 1
 
-    # A look.
+    # Ticks and snapshots.
 
     def tick(self) -> None:
         now = self.simulation.engine.now / 1000
@@ -140,7 +143,7 @@
         results = {n: (c[0], c[1], c[2]) for n, c in zip(self.classes, counts, strict=True)}
         return ProcessView(f"{process.node}-{id(process)}", "ready", servers, results)
 
-    # Acts.
+    # Actions.
 
     def perform_action(self, action: Action) -> None:
         engine, server = self.simulation.engine, self.servers[action.member]
@@ -170,7 +173,7 @@
             engine.call_after(ADMIN_CALL_MS, self.report_result, action, ActionResult(is_up, output))
 
     def finish_restart(self, action: Action) -> None:
-        """The new process: what its version differs in it has from its start, or some time after."""
+        """Start the new process. The differences of its version take effect `after_s` after its start."""
         server, original_plan = self.servers[action.member], self.original_plans[action.member]
         self.running_versions[action.member] = action.version
         server.plan, server.capacity = original_plan, original_plan.cores * original_plan.speed
@@ -193,7 +196,8 @@
             return
         server.advance_work()
         plan = replace(server.plan, error_rate=min(1.0, server.plan.error_rate + new_behaviour.errors))
-        if new_behaviour.slow_over:  # it holds badly: each multiple of that costs so much of its pace
+        # Loses efficiency under load: `slow` for each multiple of `slow_over` that it holds beyond it.
+        if new_behaviour.slow_over:
             plan = replace(plan, thrash=new_behaviour.slow, thrash_at=new_behaviour.slow_over)
         else:
             plan = replace(plan, speed=plan.speed / new_behaviour.slow)
