--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -1,10 +1,10 @@
-"""Releases in the lab's farm, in virtual time with the real decisions: how often a good version is halted,
-how soon a bad one, what it harms, and whether a cold server was pushed over.
+"""Simulated staged releases: how often a good version is halted, how soon a bad one, the harm, and crashes of
+cold servers.
 
-From the root: .venv-lab/bin/python -B -m benchmarks.release_lab [COUNT [WORKERS [VERSION...]]]. Each seed is
-a drawn farm (nodes, job servers, load) with one trouble in half of them. A bad version's day is played once
-more with a good one up to the same moment; the requests that were served in time then and not now are its
-harm.
+From the root: .venv-lab/bin/python -B -m benchmarks.release_lab [COUNT [WORKERS [VERSION...]]]. Each seed
+draws a farm (nodes, job servers, load), half of them with one trouble. The run of a bad version is repeated
+with a good version up to the time at which the first release ended. The harm is the number of requests that
+the second run served in time and the first did not.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     "2% errors": Figures(errors=0.02),
     "falls over under load": Figures(slow=3, slow_over=1),
 }
-TROUBLED = 0.5  # of the days
+TROUBLED = 0.5  # share of the runs with a trouble
 
 
 def plan_for(out_at_once: int) -> Plan:
@@ -53,7 +53,7 @@
 
 
 def draw_scenario(seed: int, servers: int = 0) -> Scenario:
-    """The scenario with a farm of this seed's, and one trouble or none."""
+    """The scenario with a farm drawn from the seed, and with one trouble or none."""
     scenario, chance = read_scenario(SCENARIO), np.random.default_rng([seed, 7])
     fleet = msgspec.structs.replace(
         scenario.fleet, nodes=int(chance.integers(2, 6)), servers=servers or int(chance.integers(6, 16))
@@ -65,13 +65,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One release. Times in s; `in_time` of `asked` first tries."""
+    """The result of one release. Times in s. `in_time` of `asked` first tries were served in time."""
 
     state: State
     why: str
     ended: float
     released: int
-    halted_with: int  # members that had the version when it was found bad
+    halted_with: int  # members on the new version when it was found bad
     max_out: int
     fallen: int
     broken: int
@@ -80,7 +80,7 @@
 
 
 def play(seed: int, version: str, until: float = float("inf"), servers: int = 0) -> Outcome:
-    """A release on a seed's farm; `until`: what is asked for later does not count."""
+    """Simulate a release on a seed's farm. No first tries are sent after `until` or the release's end."""
     policy_source = find_policy(CURRENT_CHECKOUT)
     simulation = Simulation(
         draw_scenario(seed, servers), seed, policy_source.make_policy, policy_source.knows_event
@@ -108,7 +108,7 @@
 
 
 def play_with_harm(seed: int, version: str) -> tuple[Outcome, float]:
-    """A release, and the part of the whole release's requests that its version spoilt."""
+    """Simulate a release; also returns the share of its requests that its version harmed."""
     outcome = play(seed, version)
     if version == "good":
         return outcome, 0.0
@@ -116,26 +116,29 @@
     return outcome, max(0, good_run.in_time - outcome.in_time) / max(1, good_run.asked)
 
 
-def summary(version: str, found: list[tuple[Outcome, float]], seconds: float) -> str:
-    outcomes = [outcome for outcome, _ in found]
+def summary(version: str, results: list[tuple[Outcome, float]], seconds: float) -> str:
+    outcomes = [outcome for outcome, _ in results]
     done = sum(o.state is State.DONE for o in outcomes)
-    back = [o for o in outcomes if o.state is State.WENT_BACK]
+    went_back = [o for o in outcomes if o.state is State.WENT_BACK]
     gave_up = sum(o.state is State.GAVE_UP for o in outcomes)
-    line = f"{version}: of {len(outcomes)} {done} done, {len(back)} went back, {gave_up} gave up"
+    text = f"{version}: of {len(outcomes)} {done} done, {len(went_back)} went back, {gave_up} gave up"
     fallen, broken = sum(o.fallen for o in outcomes), sum(o.broken for o in outcomes)
-    line += f"; cold servers fallen {fallen}, rules broken {broken}"
+    text += f"; cold servers fallen {fallen}, rules broken {broken}"
     if version == "good":
-        line += f"; took {np.median([o.ended for o in outcomes]):.0f} s"
-        line += "".join(f"\n  halted: {o.why}" for o in back)
+        text += f"; took {np.median([o.ended for o in outcomes]):.0f} s"
+        text += "".join(f"\n  halted: {o.why}" for o in went_back)
     else:
-        harm = np.array([harmed for _, harmed in found])
-        alone, ended = sum(o.halted_with == 1 for o in back), np.median([o.ended for o in outcomes])
-        most = np.percentile(harm, 95)
-        line += f"; halted with the canary alone {alone}; ended after {ended:.0f} s"
-        line += f"; harmed of what was asked till then {np.median(harm):.3%} (95 of 100 under {most:.3%})"
+        harm = np.array([harmed for _, harmed in results])
+        canary_alone, ended = (
+            sum(o.halted_with == 1 for o in went_back),
+            np.median([o.ended for o in outcomes]),
+        )
+        p95_harm = np.percentile(harm, 95)
+        text += f"; halted with the canary alone {canary_alone}; ended after {ended:.0f} s"
+        text += f"; harmed of what was asked till then {np.median(harm):.3%} (95 of 100 under {p95_harm:.3%})"
     open_ = [number for number, o in enumerate(outcomes) if o.state not in ENDED]
-    line += f"; not over when the day ended, seeds {open_}" if open_ else ""
-    return f"{line}; {seconds:.0f} s"
+    text += f"; not over when the day ended, seeds {open_}" if open_ else ""
+    return f"{text}; {seconds:.0f} s"
 
 
 def main() -> None:
@@ -143,9 +146,9 @@
     workers = int(sys.argv[2]) if len(sys.argv) > 2 else 8
     with Pool(workers) as pool:
         for version in sys.argv[3:] or VERSIONS:
-            begun = time.monotonic()
-            found = pool.map(partial(play_with_harm, version=version), range(count), chunksize=1)
-            print(summary(version, found, time.monotonic() - begun), flush=True)
+            started_at = time.monotonic()
+            results = pool.map(partial(play_with_harm, version=version), range(count), chunksize=1)
+            print(summary(version, results, time.monotonic() - started_at), flush=True)
 
 
 if __name__ == "__main__":
--- a/flaxstep/cli.py
+++ b/flaxstep/cli.py
@@ -1,6 +1,6 @@
-"""The command line. Each command reads what it is told, calls a room of the lab, and shows the result.
+"""The command line. Each command reads its arguments, calls the package for it, and prints the result.
 
-Exit codes: 0 done and all well; 1 a rule was broken; 2 what was asked can't be done, and why in one line.
+Exit codes: 0 success; 1 a rule was broken; 2 the command can't be carried out, with the reason in one line.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @click.group()
 def main() -> None:
-    """flaxstep: a worth-aware proxy, and the tools round it."""
+    """flaxstep: a worth-aware proxy and its tools."""
 
 
 main.add_command(demo_command)
@@ -35,21 +35,23 @@
 
 @main.group()
 def lab() -> None:
-    """Days of the farm in virtual time, with the real decisions."""
+    """Simulate the farm in virtual time with the real routing policy."""
 
 
 @lab.command("play")
 @click.argument("scenario", type=click.Path(path_type=Path))
-@click.option("--seed", type=click.IntRange(min=0), default=1, show_default=True, help="Which day is drawn.")
+@click.option(
+    "--seed", type=click.IntRange(min=0), default=1, show_default=True, help="Seed of all random draws."
+)
 @click.option(
     "--policy",
     default="here",
     show_default=True,
     help="'here', a baseline, or a revision of this repository.",
 )
-@click.option("--out", type=click.Path(path_type=Path), help="Keep the result file here.")
+@click.option("--out", type=click.Path(path_type=Path), help="Write the result file here.")
 def play_command(scenario: Path, seed: int, policy: str, out: Path | None) -> None:
-    """Play one day of SCENARIO and say what was served. Exit code 1 if a rule was broken."""
+    """Simulate one run of SCENARIO and print what was served. Exit code 1 if a rule was broken."""
     try:
         run = play_with_policy(policy, read_scenario(scenario), scenario, seed)
         if out is not None:
@@ -63,7 +65,7 @@
 
 
 def print_run(run: Run) -> None:
-    """A run as a few lines and a table by class."""
+    """Print a run as a few lines and a table by class."""
     verdict, console = run.verdict, Console(highlight=False, width=110)
     console.print(
         f"{run.scenario}, seed {run.seed}, policy {run.policy}: {run.first_tries} requests, {run.tries} tries"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Properties of the model: queues as theory has them, work conserved, days that repeat, judges that see."""
+"""The simulator: queueing theory, conserved work, repeatable runs, detection of broken rules."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class SingleServer:
-    """One server by itself, and what becomes of the attempts at it."""
+    """A server without nodes, and the results of the attempts sent to it."""
 
     zone = 0
 
@@ -68,7 +68,7 @@
         self.outcomes.append((self.engine.now, attempt, result))
 
     def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None:
-        """The owner's part: nobody asks here."""
+        """Part of AttemptOwner; not used here."""
 
     def submit(self, at: float, work: float) -> None:
         attempt = Attempt(self, 0, 0, 0, 0, work, at, 0, 0)
@@ -80,61 +80,61 @@
 
 
 def test_an_idle_server_answers_in_its_service_time() -> None:
-    bench = SingleServer(cores=2)
-    bench.submit(10.0, 25.0)
-    bench.engine.run(100.0)
-    assert [at for at, _, _ in bench.outcomes] == pytest.approx([35.0])
+    single = SingleServer(cores=2)
+    single.submit(10.0, 25.0)
+    single.engine.run(100.0)
+    assert [at for at, _, _ in single.outcomes] == pytest.approx([35.0])
 
 
-@pytest.mark.parametrize(("cores", "busy"), [(1, 0.5), (1, 0.7), (2, 0.7)])
-def test_means_are_those_of_theory(cores: int, busy: float) -> None:
+@pytest.mark.parametrize(("cores", "utilisation"), [(1, 0.5), (1, 0.7), (2, 0.7)])
+def test_mean_response_times_match_queueing_theory(cores: int, utilisation: float) -> None:
     """Exponential work, first come first served (slots = cores): M/M/1 and M/M/2 by Erlang's formula."""
-    bench, draw = SingleServer(cores=cores, slots=cores), RandomStreams(7).generator("theory")
+    single, draw = SingleServer(cores=cores, slots=cores), RandomStreams(7).generator("theory")
     count, mean = 60_000, 10.0
-    at = draw.exponential(mean / cores / busy, count).cumsum()
+    at = draw.exponential(mean / cores / utilisation, count).cumsum()
     work = draw.exponential(mean, count)
-    for when, size in zip(at.tolist(), work.tolist(), strict=True):
-        bench.submit(when, size)
-    bench.engine.run(float(at[-1]) + 10_000.0)
-    took = sum(when - attempt.sent_at for when, attempt, _ in bench.outcomes) / count
-    expected = mean / (1 - busy) if cores == 1 else mean / (1 - busy * busy)
+    for at_ms, work_ms in zip(at.tolist(), work.tolist(), strict=True):
+        single.submit(at_ms, work_ms)
+    single.engine.run(float(at[-1]) + 10_000.0)
+    took = sum(at_ms - attempt.sent_at for at_ms, attempt, _ in single.outcomes) / count
+    expected = mean / (1 - utilisation) if cores == 1 else mean / (1 - utilisation * utilisation)
     assert took == pytest.approx(expected, rel=0.06)
-    assert bench.work_totals.done_ms == pytest.approx(sum(work.tolist()))  # work is conserved
+    assert single.work_totals.done_ms == pytest.approx(sum(work.tolist()))  # work is conserved
 
 
-def test_a_tipped_cold_server_falls_and_one_spared_warms() -> None:
-    tipped, spared = SingleServer(cold=True), SingleServer(cold=True)
+def test_an_overloaded_cold_server_crashes_and_a_lightly_loaded_one_warms_up() -> None:
+    overloaded, spared = SingleServer(cold=True), SingleServer(cold=True)
     for i in range(100):
-        tipped.submit(20.0 + 20.0 * i, 20.0)  # eight times what it can do
+        overloaded.submit(20.0 + 20.0 * i, 20.0)  # eight times its capacity
         spared.submit(20.0 + 250.0 * i, 20.0)
-    for bench in (tipped, spared):
-        bench.engine.run(25_000.0)
-    assert tipped.work_totals.crashes and not tipped.server.up
+    for single in (overloaded, spared):
+        single.engine.run(25_000.0)
+    assert overloaded.work_totals.crashes and not overloaded.server.up
     assert not spared.work_totals.crashes and spared.server.warm_share() == 1.0
 
 
-def test_an_overfilled_server_stays_slow_until_it_rests() -> None:
-    bench = SingleServer(throttle_at=5.0)
-    bench.update_server()
+def test_an_overfilled_server_is_throttled_until_it_has_rested() -> None:
+    single = SingleServer(throttle_at=5.0)
+    single.update_server()
     for i in range(12):
-        bench.submit(float(i), 400.0)
-    bench.engine.run(4000.0)
-    assert bench.server.is_throttled
-    bench.engine.run(14_000.0)  # three times slower: 4,800 ms of work take until 12 s
-    assert not bench.server.requests_held and bench.server.throttled_at == float("inf")
+        single.submit(float(i), 400.0)
+    single.engine.run(4000.0)
+    assert single.server.is_throttled
+    single.engine.run(14_000.0)  # three times slower, so 4,800 ms of work take until 12 s
+    assert not single.server.requests_held and single.server.throttled_at == float("inf")
 
 
-def test_what_is_called_back_while_it_waits_is_not_done() -> None:
-    bench = SingleServer(slots=1)
-    bench.submit(0.0, 50.0)
-    waiting = Attempt(bench, 1, 0, 0, 0, 50.0, 1.0, 0, 0)
-    bench.engine.call_at(1.0, bench.server.on_arrival, waiting)
-    bench.engine.call_at(2.0, bench.server.abandon_attempt, waiting, True)
-    bench.engine.run(500.0)
-    assert bench.work_totals.done_ms == pytest.approx(50.0) and bench.server.requests_held == 0
+def test_an_attempt_abandoned_in_the_queue_is_not_processed() -> None:
+    single = SingleServer(slots=1)
+    single.submit(0.0, 50.0)
+    waiting = Attempt(single, 1, 0, 0, 0, 50.0, 1.0, 0, 0)
+    single.engine.call_at(1.0, single.server.on_arrival, waiting)
+    single.engine.call_at(2.0, single.server.abandon_attempt, waiting, True)
+    single.engine.run(500.0)
+    assert single.work_totals.done_ms == pytest.approx(50.0) and single.server.requests_held == 0
 
 
-def test_one_seed_is_one_day_to_the_byte_and_under_any_hash() -> None:
+def test_a_seed_gives_the_same_result_byte_for_byte_under_any_hash_seed() -> None:
     code = (
         "import sys; from tests.test_lab import SMALL;"
         "from flaxstep.simulator.runner import encode_result, play_scenario, find_policy;"
@@ -152,13 +152,13 @@
     assert runs[0] == runs[1] == encode_result(play_scenario(SMALL, 5, find_policy("here")))
 
 
-def test_two_modules_meet_the_same_day() -> None:
+def test_two_policies_get_the_same_first_tries() -> None:
     plain, seeing = (play_scenario(SMALL, 3, find_policy(name)) for name in ("random", "seeing"))
     assert plain.asked == seeing.asked and plain.first_tries == seeing.first_tries
     assert seeing.verdict.g > plain.verdict.g
 
 
-def test_the_day_of_hand_and_drain_hurts_the_module_and_not_the_one_that_sees() -> None:
+def test_hand_drain_serves_less_with_the_policy_than_with_the_omniscient_baseline() -> None:
     scenario = read_scenario(FILE)
     ours, seeing = (play_scenario(scenario, 2, find_policy(name)) for name in ("here", "seeing"))
     assert ours.verdict.breaches == seeing.verdict.breaches == 0
@@ -167,7 +167,7 @@
 
 
 class RuleBreakingPolicy:
-    """Breaks what can be broken: sends to any server, repeats what failed, refuses what may have run."""
+    """Breaks the rules: sends to any server, repeats what failed, refuses nothing."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.servers: list[int] = []
@@ -183,8 +183,8 @@
         return [Send(number, self.servers[self.turn % len(self.servers)], 0.0)] if number else []
 
 
-def test_the_judges_catch_planted_breaches() -> None:
-    """Errors are sent again, taken-out servers get more, cold ones all that comes, time-outs no answer."""
+def test_the_rule_checks_detect_deliberate_breaches() -> None:
+    """Failed requests are sent again, also to cordoned and to cold servers, and time-outs get no response."""
     errors = Trouble("fast_errors", at_s=0.5, len_s=1.0, part=1.0, size=0.5)
     out = Act("cordon", at_s=1.0, for_s=4.0, count=9, down_s=0.1)
     scenario = msgspec.structs.replace(SMALL, acts=[out], troubles=[errors], load=Load(of_capacity=3.0))
@@ -193,7 +193,7 @@
     assert all(b.at > 0 for b in run.breaches)
 
 
-def test_events_of_every_name_play_and_break_nothing() -> None:
+def test_every_trouble_and_act_runs_without_a_breach() -> None:
     names = [
         "slow",
         "fast_errors",
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("nodes = 2", "nodse = 2", "unknown field 'nodse' - at 'fleet'"),
         ("nodes = 2", 'nodes = "2"', "Expected 'int', got 'str' - at 'fleet.nodes'"),
@@ -233,38 +233,42 @@
         ("[fleet]", "[fleet", "not TOML"),
     ],
 )
-def test_a_faulty_scenario_is_one_line_and_exit_2(old: str, new: str, said: str, tmp_path: Path) -> None:
+def test_an_invalid_scenario_gives_one_line_and_exit_code_2(
+    old: str, new: str, message: str, tmp_path: Path
+) -> None:
     text = FILE.read_text().replace(old, new, 1)
     with pytest.raises(ScenarioError) as caught:
         parse_scenario(text)
-    assert said in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
     path = tmp_path / "faulty.toml"
     path.write_text(text)
-    done = CliRunner().invoke(main, ["lab", "play", str(path)])
-    assert done.exit_code == 2 and done.output.count("\n") == 1 and "faulty.toml" in done.output
+    completed = CliRunner().invoke(main, ["lab", "play", str(path)])
+    assert (
+        completed.exit_code == 2 and completed.output.count("\n") == 1 and "faulty.toml" in completed.output
+    )
 
 
-def test_every_scenario_of_the_repository_can_be_read() -> None:
+def test_every_scenario_of_the_repository_is_valid() -> None:
     for path in (ROOT / "scenarios").glob("*.toml"):
         assert isinstance(read_scenario(path), Scenario)
 
 
-def test_lab_play_shows_the_day_and_keeps_its_result(tmp_path: Path) -> None:
+def test_lab_play_prints_the_run_and_writes_the_result_file(tmp_path: Path) -> None:
     path, out = tmp_path / "short.toml", tmp_path / "run.json"
     path.write_text(FILE.read_text().replace("length_s = [25, 28]", "length_s = 4").split("[[acts]]")[0])
-    done = CliRunner().invoke(main, ["lab", "play", str(path), "--seed", "2", "--out", str(out)])
-    assert done.exit_code == 0 and "submit-build" in done.output and out.stat().st_size > 1000
+    completed = CliRunner().invoke(main, ["lab", "play", str(path), "--seed", "2", "--out", str(out)])
+    assert completed.exit_code == 0 and "submit-build" in completed.output and out.stat().st_size > 1000
     assert CliRunner().invoke(main, ["lab", "play", str(path), "--policy", "no-such"]).exit_code == 2
 
 
-def run_git(*words: str) -> str:
+def run_git(*arguments: str) -> str:
     return subprocess.run(
-        ["git", *words], cwd=ROOT, capture_output=True, check=True, text=True
+        ["git", *arguments], cwd=ROOT, capture_output=True, check=True, text=True
     ).stdout.strip()
 
 
-def test_modules_of_revisions_play_whatever_the_package_was_called(tmp_path: Path) -> None:
-    """`cottonhall` became `flaxstep.routing` in a commit that changed nothing but names."""
+def test_policies_of_revisions_run_under_both_names_of_the_package(tmp_path: Path) -> None:
+    """`cottonhall` became `flaxstep.routing` in a commit that changed only names."""
     path = tmp_path / "short.toml"
     path.write_text(FILE.read_text().replace("length_s = [25, 28]", "length_s = 4").split("[[acts]]")[0])
     scenario = read_scenario(path)
@@ -280,5 +284,5 @@
     last, here = encode_result(play_with_result("HEAD")), encode_result(play_with_result("here"))
     changed = run_git(
         "status", "--porcelain", "--", "flaxstep/routing"
-    )  # then what is here may decide otherwise
+    )  # then the checkout may decide differently
     assert changed or last == here
