--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -22,7 +22,7 @@
 from flaxstep.rollout.plan import Commands, Plan, Room, Watch, Waves
 from flaxstep.rollout.release import ENDED, State
 from flaxstep.simulator.engine import RandomStreams
-from flaxstep.simulator.fault_config import Figures
+from flaxstep.simulator.fault_config import VersionBehaviour
 from flaxstep.simulator.runner import CURRENT_CHECKOUT, find_policy
 from flaxstep.simulator.scenario import Scenario, read_scenario
 from flaxstep.simulator.scheduled_events import start_happening
@@ -31,10 +31,10 @@
 
 SCENARIO = Path(__file__).resolve().parents[1] / "scenarios" / "release.toml"
 VERSIONS = {
-    "good": Figures(),
-    "a third slower": Figures(slow=4 / 3),
-    "2% errors": Figures(errors=0.02),
-    "falls over under load": Figures(slow=3, slow_over=1),
+    "good": VersionBehaviour(),
+    "a third slower": VersionBehaviour(slow=4 / 3),
+    "2% errors": VersionBehaviour(errors=0.02),
+    "falls over under load": VersionBehaviour(slow=3, slow_over=1),
 }
 TROUBLED = 0.5  # share of the runs with a trouble
 
--- a/flaxstep/faultbench/rule_checks.py
+++ b/flaxstep/faultbench/rule_checks.py
@@ -14,7 +14,7 @@
 from flaxstep.faultbench.clients import CROSSED
 from flaxstep.faultbench.farm_config import server_id
 from flaxstep.faultbench.trace import FOREVER, Attempt, Trace, TryTrace
-from flaxstep.simulator.scenario import Class, Rules, Scenario
+from flaxstep.simulator.scenario import ClassConfig, Rules, Scenario
 
 SLACK = 50.0  # ms by which each limit is longer on sockets
 LATE = 500.0  # ms after its time in which an answer earns nothing, and is not lost yet
@@ -82,7 +82,7 @@
     )
 
 
-def alike(story: Trace, wanted: Class, one: int, other: int) -> bool:
+def alike(story: Trace, wanted: ClassConfig, one: int, other: int) -> bool:
     """Whether a repeat at the other server is dropped by the first one's group."""
     a, b = story.plan.servers[one], story.plan.servers[other]
     if wanted.group == "cell":
--- a/flaxstep/simulator/config_types.py
+++ b/flaxstep/simulator/config_types.py
@@ -8,9 +8,9 @@
 from msgspec import Meta
 
 Positive = Annotated[float, Meta(gt=0)]
-Natural = Annotated[float, Meta(ge=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
-Span = tuple[float, float]
+NonNegative = Annotated[float, Meta(ge=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+RangePair = tuple[float, float]
 # A number, or a range from which each seed draws. check_scenario checks that none is below 0: with bounds
 # inside a union, msgspec 0.19 to 0.23 crash in the garbage collector.
 Range = float | tuple[float, float]
--- a/flaxstep/simulator/scenario.py
+++ b/flaxstep/simulator/scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from flaxstep.simulator.config_types import Natural, Part, Positive, Range, Span, Table
+from flaxstep.simulator.config_types import Fraction, NonNegative, Positive, Range, RangePair, Table
 from flaxstep.simulator.fault_config import FaultConfig, fault_error
 
 
@@ -20,11 +20,11 @@
     """A scenario that can't be played: file, key and what is allowed, in one line."""
 
 
-class Kind(Table, frozen=True):
+class ServerKind(Table, frozen=True):
     """A model of job server."""
 
     name: str
-    share: Natural  # weight among the kinds: how much of the fleet is of this one
+    share: NonNegative  # weight among the kinds: how much of the fleet is of this one
     cores: Annotated[int, Meta(ge=1)] = 1
     speed: Range = 1.0  # of a core, relative to the standard core
     speed_cv: Range = 0.1  # coefficient of variation between servers of the kind
@@ -37,28 +37,28 @@
     error_rate: Range = (0, 0.002)  # share of the requests
 
 
-class Class(Table, frozen=True):
+class ClassConfig(Table, frozen=True):
     """A class of requests."""
 
     name: str
-    share: Natural  # weight among the classes: how many of the requests are of this one
+    share: NonNegative  # weight among the classes: how many of the requests are of this one
     work_ms: Range  # on a standard core
     aim_ms: Positive
     deadline_ms: Positive
-    worth: Natural
+    worth: NonNegative
     effect: Literal["safe", "keyed", "unsafe"]
-    late_worth: Part = 0.0  # share of the worth for a response between aim and deadline
+    late_worth: Fraction = 0.0  # share of the worth for a response between aim and deadline
     cv: Range = (0.3, 0.7)  # coefficient of variation of the work, lognormal; 0: all alike
     attempt_noise: Range = (0.05, 0.4)  # coefficient of variation between attempts of one request
     group: Literal["all", "zone", "cell"] = "all"  # keyed: the servers that drop each other's repeats
-    window_ms: Natural = 0.0  # keyed: how long repeats are dropped
+    window_ms: NonNegative = 0.0  # keyed: how long repeats are dropped
 
 
 class Tenant(Table, frozen=True):
     """A tenant and its share of the quota."""
 
     name: str
-    share: Part
+    share: Fraction
     usage: Range = 1.0  # what it requests, relative to its share
 
 
@@ -80,10 +80,10 @@
     wave_s: Range = (15, 30)  # its period
     zone_skew: Range = (0.25, 0.6)  # how unevenly clients are spread over the zones
     quota_of_capacity: Range = (0.75, 0.94)  # all tenants' quotas together
-    over_share_worth: Part = 0.1  # share of the worth that a request beyond its tenant's quota has
+    over_share_worth: Fraction = 0.1  # share of the worth that a request beyond its tenant's quota has
 
 
-class Net(Table, frozen=True):
+class NetworkConfig(Table, frozen=True):
     """One-way network delays: within a zone, across zones, and between client and node."""
 
     same_ms: Range = (0.11, 0.26)
@@ -92,7 +92,7 @@
     jitter: Range = (0.057, 0.31)  # largest deviation, as a share of the delay
 
 
-class Conn(Table, frozen=True):
+class ConnectionConfig(Table, frozen=True):
     """Connections to job servers."""
 
     handshake_rtts: Range = (2, 3)
@@ -103,24 +103,24 @@
     full_tax: Range = (0.22, 0.36)  # share of the speed lost when all connections are in use
 
 
-class Clients(Table, frozen=True):
+class ClientConfig(Table, frozen=True):
     """How clients retry."""
 
     retries: Range = (3, 4.99)  # at most; rounded down
     try_share: Range = (0.3, 0.55)  # share of the deadline after which a client gives up a try
     backoff_ms: Range = (0, 80)
     honour: Range = (0.04, 0.35)  # share of the clients that honour Retry-After
-    max_retry_after_ms: Natural = 600
+    max_retry_after_ms: NonNegative = 600
 
 
-class Front(Table, frozen=True):
+class FrontBalancerConfig(Table, frozen=True):
     """The load balancer in front of the nodes."""
 
     notice_s: Range = (1.6, 3.9)  # until a killed node gets no more clients
     health_s: Positive = 0.3  # until a node with a failing health check gets none
 
 
-class Listing(Table, frozen=True):
+class DiscoveryConfig(Table, frozen=True):
     """The discovery service."""
 
     mode: Literal["ask", "push"] = "ask"
@@ -133,33 +133,33 @@
     timeout_ms: Positive = 3000
 
 
-class Peers(Table, frozen=True):
+class PeerConfig(Table, frozen=True):
     """Datagrams between nodes."""
 
     allowed: bool = True
-    delay_ms: Span = (1.7, 39)
-    lost: Part = 0.02  # share of the datagrams
+    delay_ms: RangePair = (1.7, 39)
+    lost: Fraction = 0.02  # share of the datagrams
 
 
-class Choke(Table, frozen=True):
+class ThrottlingConfig(Table, frozen=True):
     """Throttling: overfilled servers slow down and stay slow until they have rested."""
 
-    share: Part = 0.6  # share of the runs that have it
-    at: Span = (4, 7)  # requests waiting per core from which a server counts as overfilled
-    over_s: Span = (1.5, 2.5)  # how long until it is throttled
-    slower: Span = (2.1, 3.4)  # times as slow
-    rest_s: Span = (2.2, 4.2)  # how long it must be mostly idle to recover
-    below: Span = (0.25, 0.4)  # busy share that counts as mostly idle
-    most_s: Span = (16, 35)  # it recovers after this in any case
-    price: Natural = 0.04  # if all servers are throttled
+    share: Fraction = 0.6  # share of the runs that have it
+    at: RangePair = (4, 7)  # requests waiting per core from which a server counts as overfilled
+    over_s: RangePair = (1.5, 2.5)  # how long until it is throttled
+    slower: RangePair = (2.1, 3.4)  # times as slow
+    rest_s: RangePair = (2.2, 4.2)  # how long it must be mostly idle to recover
+    below: RangePair = (0.25, 0.4)  # busy share that counts as mostly idle
+    most_s: RangePair = (16, 35)  # it recovers after this in any case
+    price: NonNegative = 0.04  # if all servers are throttled
 
 
 class Rules(Table, frozen=True):
     """Limits of the four rules."""
 
-    answer_slack_ms: Natural = 70  # a final response may come this long after the client's time-out
-    drain_grace_ms: Natural = 500  # sends may go on this long after a server is listed as draining or gone
-    cordon_grace_ms: Natural = 1000
+    answer_slack_ms: NonNegative = 70  # a final response may come this long after the client's time-out
+    drain_grace_ms: NonNegative = 500  # sends may go on this long after the list says draining or gone
+    cordon_grace_ms: NonNegative = 1000
     tip_multiple: Positive = 2.5  # a cold server crashes when sent this multiple of its capacity ...
     tip_ms: Positive = 2000  # ... within this time
     ramp_ms: Positive = 24000  # a cold server is warm after this at the latest
@@ -170,20 +170,20 @@
 class Prices(Table, frozen=True):
     """What is subtracted from the score: per first try, or per share of the work or worth."""
 
-    cross_zone: Natural = 0.017
-    waste: Natural = 0.1
-    probe: Natural = 0.01
-    peer: Natural = 0.01
-    late_fail: Natural = 0.03
+    cross_zone: NonNegative = 0.017
+    waste: NonNegative = 0.1
+    probe: NonNegative = 0.01
+    peer: NonNegative = 0.01
+    late_fail: NonNegative = 0.03
 
 
 class Goal(Table, frozen=True):
     """Weights of the served shares in the score: of the whole run and of its worst parts."""
 
-    whole: Part = 0.35
-    worst_window: Part = 0.35
-    worst_class: Part = 0.2
-    worst_tenant: Part = 0.1
+    whole: Fraction = 0.35
+    worst_window: Fraction = 0.35
+    worst_class: Fraction = 0.2
+    worst_tenant: Fraction = 0.1
 
 
 class Trouble(Table, frozen=True):
@@ -224,20 +224,20 @@
     """The whole scenario file."""
 
     name: str
-    kinds: Annotated[list[Kind], Meta(min_length=1)]
-    classes: Annotated[list[Class], Meta(min_length=1)]
+    kinds: Annotated[list[ServerKind], Meta(min_length=1)]
+    classes: Annotated[list[ClassConfig], Meta(min_length=1)]
     length_s: Range = (38, 50)
     tick_ms: Positive = 1.0
-    margin_ms: Natural = 10.0  # a node's deadline is this much before the client's
+    margin_ms: NonNegative = 10.0  # a node's deadline is this much before the client's
     fleet: Fleet = Fleet()
     load: Load = Load()
-    net: Net = Net()
-    conn: Conn = Conn()
-    clients: Clients = Clients()
-    front: Front = Front()
-    discovery: Listing = Listing()
-    peers: Peers = Peers()
-    choke: Choke = Choke()
+    net: NetworkConfig = NetworkConfig()
+    conn: ConnectionConfig = ConnectionConfig()
+    clients: ClientConfig = ClientConfig()
+    front: FrontBalancerConfig = FrontBalancerConfig()
+    discovery: DiscoveryConfig = DiscoveryConfig()
+    peers: PeerConfig = PeerConfig()
+    choke: ThrottlingConfig = ThrottlingConfig()
     rules: Rules = Rules()
     prices: Prices = Prices()
     goal: Goal = Goal()
@@ -266,49 +266,53 @@
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
         raise ScenarioError(str(error).replace("$.", "").replace("`", "'")) from None
-    check(scenario)
+    check_scenario(scenario)
     return scenario
 
 
-def check(scenario: Scenario) -> None:
+def check_scenario(scenario: Scenario) -> None:
     """Check what the types can't: order of ranges, shares, and numbers of servers and nodes that exist."""
-    for where, value in figures("", msgspec.to_builtins(scenario)):
+    for key_path, value in list_numbers("", msgspec.to_builtins(scenario)):
         if min(value) < 0 or not max(value) < float("inf"):
-            raise ScenarioError(f"{where}: a figure is at least 0 and finite, not {min(value):g}")
+            raise ScenarioError(f"{key_path}: a figure is at least 0 and finite, not {min(value):g}")
         if value[0] > value[1]:
-            raise ScenarioError(f"{where}: a range goes from low to high, not {value[0]:g} to {value[1]:g}")
+            raise ScenarioError(
+                f"{key_path}: a range goes from low to high, not {value[0]:g} to {value[1]:g}"
+            )
     for key, table in (("kinds", scenario.kinds), ("classes", scenario.classes)):
-        if sum(line.share for line in table) <= 0:
+        if sum(entry.share for entry in table) <= 0:
             raise ScenarioError(f"{key}: the shares must add up to more than 0")
     nodes, servers = scenario.fleet.nodes, scenario.fleet.servers
     for i, act in enumerate(scenario.acts):
-        most = servers if act.name == "cordon" else nodes
-        if act.from_ + act.count > most:
-            raise ScenarioError(f"acts[{i}]: 'from' and 'count' reach beyond the {most} there are")
+        available = servers if act.name == "cordon" else nodes
+        if act.from_ + act.count > available:
+            raise ScenarioError(f"acts[{i}]: 'from' and 'count' reach beyond the {available} there are")
     for i, trouble in enumerate(scenario.troubles):
-        top = 1.0 if trouble.name in ("fast_errors", "lost", "resets", "neighbour") else float("inf")
-        if high(trouble.size) > top:
-            raise ScenarioError(f"troubles[{i}].size: for {trouble.name} at most {top:g}")
-        if high(trouble.part) > 1:
+        max_size = 1.0 if trouble.name in ("fast_errors", "lost", "resets", "neighbour") else float("inf")
+        if upper_bound(trouble.size) > max_size:
+            raise ScenarioError(f"troubles[{i}].size: for {trouble.name} at most {max_size:g}")
+        if upper_bound(trouble.part) > 1:
             raise ScenarioError(f"troubles[{i}].part: at most 1")
     for i, fault in enumerate(scenario.rig.faults):
         if error := fault_error(fault, nodes, servers, scenario.fleet.zones, scenario.rig.regions):
             raise ScenarioError(f"rig.faults[{i}].{error}")
 
 
-def figures(where: str, value: Any) -> list[tuple[str, tuple[float, float]]]:
+def list_numbers(key_path: str, value: Any) -> list[tuple[str, tuple[float, float]]]:
     """Every number and range in a scenario, with its key."""
     if isinstance(value, int | float):
-        return [(where, (float(value), float(value)))]
+        return [(key_path, (float(value), float(value)))]
     if isinstance(value, dict):
-        dot = "." if where else ""
-        return [found for key, inner in value.items() for found in figures(f"{where}{dot}{key}", inner)]
+        dot = "." if key_path else ""
+        return [
+            found for key, inner in value.items() for found in list_numbers(f"{key_path}{dot}{key}", inner)
+        ]
     if isinstance(value, list | tuple):
         if len(value) == 2 and all(isinstance(part, int | float) for part in value):
-            return [(where, (float(value[0]), float(value[1])))]
-        return [found for i, inner in enumerate(value) for found in figures(f"{where}[{i}]", inner)]
+            return [(key_path, (float(value[0]), float(value[1])))]
+        return [found for i, inner in enumerate(value) for found in list_numbers(f"{key_path}[{i}]", inner)]
     return []
 
 
-def high(value: Range) -> float:
+def upper_bound(value: Range) -> float:
     return value[1] if isinstance(value, tuple) else value
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -1,7 +1,7 @@
 """A staged release in a simulated run: the real release state machine, in virtual time.
 
 It stands in for `flaxstep/rollout/io`: calls into the simulation replace admin ports and commands. How a
-version differs is described by the same Figures as in the rig.
+version differs is described by the same VersionBehaviour as in the rig.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from flaxstep.routing.interface import Result as AttemptResult
 from flaxstep.routing.interface import State as Lifecycle
 from flaxstep.simulator.engine import UniformStream
-from flaxstep.simulator.fault_config import Figures
+from flaxstep.simulator.fault_config import VersionBehaviour
 from flaxstep.simulator.job_servers import Attempt
 from flaxstep.simulator.simulated_node import SimulatedNode
 from flaxstep.simulator.simulation import Simulation
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, simulation: Simulation, plan: Plan, new_behaviour: Figures, uniform: UniformStream
+        self, simulation: Simulation, plan: Plan, new_behaviour: VersionBehaviour, uniform: UniformStream
     ) -> None:
         self.simulation, self.plan, self.new_behaviour, self.uniform = (
             simulation,
