--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -69,13 +69,13 @@
 
     state: State
     why: str
-    ended: float
+    ended_at: float
     released: int
-    halted_with: int  # members on the new version when it was found bad
-    max_out: int
-    fallen: int
-    broken: int
-    asked: int
+    members_at_halt: int  # members on the new version when it was found bad
+    max_members_out: int
+    crashes: int
+    breaches: int
+    first_tries: int
     in_time: int
 
 
@@ -98,8 +98,8 @@
         release.release.why,
         release.ended_at,
         sum(version == "v2" for version in release.running_versions.values()),
-        release.halted_with,
-        release.max_out,
+        release.members_at_halt,
+        release.max_members_out,
         len(run.fallen),
         len(run.breaches),
         run.first_tries,
@@ -112,8 +112,8 @@
     outcome = play(seed, version)
     if version == "good":
         return outcome, 0.0
-    good_run = play(seed, "good", outcome.ended)
-    return outcome, max(0, good_run.in_time - outcome.in_time) / max(1, good_run.asked)
+    good_run = play(seed, "good", outcome.ended_at)
+    return outcome, max(0, good_run.in_time - outcome.in_time) / max(1, good_run.first_tries)
 
 
 def summary(version: str, results: list[tuple[Outcome, float]], seconds: float) -> str:
@@ -122,19 +122,19 @@
     went_back = [o for o in outcomes if o.state is State.WENT_BACK]
     gave_up = sum(o.state is State.GAVE_UP for o in outcomes)
     text = f"{version}: of {len(outcomes)} {done} done, {len(went_back)} went back, {gave_up} gave up"
-    fallen, broken = sum(o.fallen for o in outcomes), sum(o.broken for o in outcomes)
-    text += f"; cold servers fallen {fallen}, rules broken {broken}"
+    crashes, breaches = sum(o.crashes for o in outcomes), sum(o.breaches for o in outcomes)
+    text += f"; cold servers fallen {crashes}, rules broken {breaches}"
     if version == "good":
-        text += f"; took {np.median([o.ended for o in outcomes]):.0f} s"
+        text += f"; took {np.median([o.ended_at for o in outcomes]):.0f} s"
         text += "".join(f"\n  halted: {o.why}" for o in went_back)
     else:
         harm = np.array([harmed for _, harmed in results])
-        canary_alone, ended = (
-            sum(o.halted_with == 1 for o in went_back),
-            np.median([o.ended for o in outcomes]),
+        canary_alone, ended_at = (
+            sum(o.members_at_halt == 1 for o in went_back),
+            np.median([o.ended_at for o in outcomes]),
         )
         p95_harm = np.percentile(harm, 95)
-        text += f"; halted with the canary alone {canary_alone}; ended after {ended:.0f} s"
+        text += f"; halted with the canary alone {canary_alone}; ended after {ended_at:.0f} s"
         text += f"; harmed of what was asked till then {np.median(harm):.3%} (95 of 100 under {p95_harm:.3%})"
     open_ = [number for number, o in enumerate(outcomes) if o.state not in ENDED]
     text += f"; not over when the day ended, seeds {open_}" if open_ else ""
--- a/flaxstep/simulator/job_servers.py
+++ b/flaxstep/simulator/job_servers.py
@@ -121,10 +121,12 @@
         self.up, self.state = True, State.READY
         self.started_at = 0.0  # 0: before the run, so warm
         self.warmup_work_ms = NEVER  # work done since the start, as ms at full capacity
-        # Set by troubles; scheduled_events.py and the rig set them by name.
+        # Effects of troubles, set by name in scheduled_events.py and the rig: `slow` is a factor, `taken` the
+        # share of the machine that another program uses; the others are shares of the requests.
         self.slow, self.taken, self.errors, self.lost, self.resets = 1.0, 0.0, 0.0, 0.0, 0.0
         self.paused = False
         # Requests and connections
+        # Heap of the requests in service: virtual work at completion, order of start, attempt.
         self.running: list[tuple[float, int, Attempt]] = []
         self.in_service = 0
         self.queue: deque[Attempt] = deque()
--- a/flaxstep/simulator/sampling.py
+++ b/flaxstep/simulator/sampling.py
@@ -145,7 +145,7 @@
     speeds = [draw_value(generator, kind.speed) for kind in scenario.kinds]
     spreads = [draw_value(generator, kind.speed_cv) for kind in scenario.kinds]
     connections, tax = draw_value(generator, conn.cap_per_core), draw_value(generator, conn.full_tax)
-    drawn = [
+    kind_values = [
         (
             draw_value(generator, kind.slots_per_core),
             draw_value(generator, kind.queue_per_core),
@@ -158,17 +158,17 @@
         for kind in scenario.kinds
     ]
     plans = []
-    for number, (k, zone) in enumerate(zip(kinds, zones, strict=True)):
-        cores = scenario.kinds[k].cores
-        slots, queue, thrash, thrash_at, cold_from, cold_ms, error_rate = drawn[k]
+    for number, (kind_index, zone) in enumerate(zip(kinds, zones, strict=True)):
+        cores = scenario.kinds[kind_index].cores
+        slots, queue, thrash, thrash_at, cold_from, cold_ms, error_rate = kind_values[kind_index]
         plans.append(
             ServerPlan(
                 number=number,
                 zone=zone,
-                kind=k,
+                kind=kind_index,
                 cell=number // cell_size,
                 cores=cores,
-                speed=speeds[k] * float(lognormal(generator, spreads[k], 1)[0]),
+                speed=speeds[kind_index] * float(lognormal(generator, spreads[kind_index], 1)[0]),
                 slots=max(cores, round(slots * cores)),
                 queue=round(queue * cores),
                 thrash=thrash,
@@ -204,8 +204,8 @@
     quota = draw_value(generator, load.quota_of_capacity) * capacity / mean_work * 1000
     swing, period = draw_value(generator, load.swing), 1000 * draw_value(generator, load.wave_s)
     phase = float(generator.uniform(0, 2 * np.pi))
-    top = rate * (1 + swing) * max([1.0] + [burst.size for burst in bursts])
-    count = int(generator.poisson(top * length))
+    peak_rate = rate * (1 + swing) * max([1.0] + [burst.size for burst in bursts])
+    count = int(generator.poisson(peak_rate * length))
     at = np.sort(generator.uniform(0, length, count))
     rate_at = rate * (1 + swing * np.sin(2 * np.pi * at / period + phase))
     for burst in bursts:
@@ -213,14 +213,14 @@
         up = np.clip((at - burst.at) / rise, 0, 1)
         down = np.clip((burst.at + burst.length - at) / rise, 0, 1)
         rate_at *= 1 + (burst.size - 1) * np.minimum(up, down)
-    at = at[generator.uniform(0, top, count) < rate_at]
+    at = at[generator.uniform(0, peak_rate, count) < rate_at]
     n = len(at)
     cls = streams.generator("classes").choice(len(class_part), n, p=class_part)
     sizes = streams.generator("work")
     work = np.empty(n)
     for i, mean in enumerate(works):
-        mine = cls == i
-        work[mine] = mean * lognormal(sizes, spreads[i], int(mine.sum()))
+        of_class = cls == i
+        work[of_class] = mean * lognormal(sizes, spreads[i], int(of_class.sum()))
     tenants = [t.share * draw_value(generator, t.usage) for t in scenario.tenants] or [1.0]
     part = np.array(tenants) / sum(tenants)
     tenant = streams.generator("tenants").choice(len(part), n, p=part)
--- a/flaxstep/simulator/scheduled_events.py
+++ b/flaxstep/simulator/scheduled_events.py
@@ -92,8 +92,10 @@
         server.taken = taken if simulation.engine.now < end else 0.0
         server.reschedule_completion()
         if simulation.engine.now < end:
-            again = 1000 * happening.extra * uniform.between(0.5, 1.5)
-            simulation.engine.call_after(again, set_attribute, server, 0.0 if taken else happening.size)
+            next_change_ms = 1000 * happening.extra * uniform.between(0.5, 1.5)
+            simulation.engine.call_after(
+                next_change_ms, set_attribute, server, 0.0 if taken else happening.size
+            )
 
     for server in choose_servers(simulation, happening):
         simulation.engine.call_after(
@@ -112,19 +114,19 @@
     simulation.engine.call_after(happening.length, simulation.partitioned_zones.discard, zone)
 
 
-def restart_server(simulation: Simulation, server: Server, down: float) -> None:
+def restart_server(simulation: Simulation, server: Server, down_ms: float) -> None:
     """A server's process ends and starts again, cold. Discovery notices late, and no short outage."""
     figures = simulation.plan.figures
     server.stop_process()
     server.state = State.GONE
-    if down > 1000 * figures["discovery.notice_s"]:
+    if down_ms > 1000 * figures["discovery.notice_s"]:
         simulation.discovery.schedule_update(server, State.GONE, 1000 * figures["discovery.notice_s"])
 
     def start_again() -> None:
         server.start_process()
         simulation.discovery.schedule_update(server, State.READY, 1000 * figures["discovery.add_s"])
 
-    simulation.engine.call_after(down, start_again)
+    simulation.engine.call_after(down_ms, start_again)
 
 
 def replace(simulation: Simulation, happening: Happening) -> None:
@@ -149,23 +151,23 @@
     count = max(1, round(happening.part * len(simulation.processes)))
     nodes = sorted(generator.choice(len(simulation.processes), count, replace=False).tolist())
     for i, node in enumerate(nodes):
-        at = happening.length * (i * happening.steps // len(nodes)) / happening.steps
-        simulation.engine.call_after(at, crash_node, simulation, node, 1000 * happening.extra)
+        delay_ms = happening.length * (i * happening.steps // len(nodes)) / happening.steps
+        simulation.engine.call_after(delay_ms, crash_node, simulation, node, 1000 * happening.extra)
 
 
-def crash_node(simulation: Simulation, node: int, down: float) -> None:
+def crash_node(simulation: Simulation, node: int, down_ms: float) -> None:
     """A node's processes end at once; a new one starts after `down` ms."""
     for process in list(simulation.processes[node]):
         simulation.end_process(process)
     notice_ms = 1000 * simulation.plan.figures["front.notice_s"]
-    if down + NODE_STARTUP_MS > notice_ms:
+    if down_ms + NODE_STARTUP_MS > notice_ms:
         simulation.engine.call_after(notice_ms, simulation.front.set_node_up, node, False)
 
     def start_again() -> None:
         simulation.start_process(node)
         simulation.engine.call_after(NODE_STARTUP_MS, simulation.front.set_node_up, node, True)
 
-    simulation.engine.call_after(down, start_again)
+    simulation.engine.call_after(down_ms, start_again)
 
 
 # Operator acts.
@@ -182,13 +184,21 @@
                 node,
                 partial(SimulatedNode.cordon, server=server.id),
             )
-            back = happening.length + OPERATOR_CALL_GAP_MS * node
+            uncordon_delay_ms = happening.length + OPERATOR_CALL_GAP_MS * node
             simulation.engine.call_after(
-                back, call_processes, simulation, node, partial(SimulatedNode.uncordon, server=server.id)
+                uncordon_delay_ms,
+                call_processes,
+                simulation,
+                node,
+                partial(SimulatedNode.uncordon, server=server.id),
             )
-        restart_in = min(RESTART_DELAY_MS, happening.length / 2)
+        restart_delay_ms = min(RESTART_DELAY_MS, happening.length / 2)
         simulation.engine.call_after(
-            restart_in, restart_server, simulation, server, min(happening.extra, happening.length / 2 - 10)
+            restart_delay_ms,
+            restart_server,
+            simulation,
+            server,
+            min(happening.extra, happening.length / 2 - 10),
         )
 
 
@@ -245,12 +255,12 @@
         )
 
 
-def restart_node(simulation: Simulation, node: int, down: float) -> None:
+def restart_node(simulation: Simulation, node: int, down_ms: float) -> None:
     health_check_ms = 1000 * simulation.scenario.front.health_s
     call_processes(simulation, node, lambda process: process.dispatch_if_known("Drain", True))
     simulation.engine.call_after(health_check_ms, simulation.front.set_node_up, node, False)
     longest_deadline_ms = max(c.deadline_ms for c in simulation.scenario.classes)
-    simulation.engine.call_after(health_check_ms + longest_deadline_ms, crash_node, simulation, node, down)
+    simulation.engine.call_after(health_check_ms + longest_deadline_ms, crash_node, simulation, node, down_ms)
 
 
 HAPPENING_HANDLERS: dict[str, Callable[[Simulation, Happening], None]] = {
--- a/flaxstep/simulator/simulated_node.py
+++ b/flaxstep/simulator/simulated_node.py
@@ -63,7 +63,7 @@
     """Callbacks through which a node process reports to the clients."""
 
     def on_served(self, request: ClientTry) -> None: ...
-    def on_refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None: ...
+    def on_refused(self, request: ClientTry, wait_ms: float, process: SimulatedNode) -> None: ...
     def on_failed(self, request: ClientTry) -> None: ...
     def on_unreachable(self, request: ClientTry) -> None: ...
     def on_cut_off(self, request: ClientTry) -> None: ...
@@ -213,11 +213,11 @@
         counters = simulation.scorer.counters
         counters.attempts += 1
         counters.cross_zone_attempts += server.plan.zone != self.zone
-        limit = request.due - simulation.scenario.margin_ms - now
+        timeout_ms = request.due - simulation.scenario.margin_ms - now
         if action.limit:
-            limit = min(limit, action.limit)
+            timeout_ms = min(timeout_ms, action.limit)
         one_way_ms = simulation.one_way_delay(self.zone, server.plan.zone)
-        attempt.times_out_at = now + limit
+        attempt.times_out_at = now + timeout_ms
         simulation.engine.call_at(attempt.times_out_at, self.on_attempt_timeout, attempt)
         if simulation.is_partitioned(self.zone, server.plan.zone):
             simulation.engine.call_after(
@@ -259,7 +259,7 @@
         )
         if request_class.effect == "safe":
             return
-        for sent, attempt in request.may_have_run.values():
+        for sent_at, attempt in request.may_have_run.values():
             shares_group = {
                 "all": True,
                 "zone": attempt.zone == target.zone,
@@ -267,7 +267,7 @@
             }
             if (
                 request_class.effect == "unsafe"
-                or now - sent >= request_class.window_ms
+                or now - sent_at >= request_class.window_ms
                 or not shares_group[request_class.group]
             ):
                 simulation.record_breach(
--- a/flaxstep/simulator/simulation.py
+++ b/flaxstep/simulator/simulation.py
@@ -132,12 +132,12 @@
             self.simulation.engine.call_at(tries.at[self.next_first_try], self.send_first_try)
 
     def send_first_try(self) -> None:
-        i, tries, simulation = self.next_first_try, self.simulation.plan.tries, self.simulation
-        if i == len(tries.at):  # stop_first_tries was called meanwhile
+        first_try, tries, simulation = self.next_first_try, self.simulation.plan.tries, self.simulation
+        if first_try == len(tries.at):  # stop_first_tries was called meanwhile
             return
         self.next_first_try += 1
         self.schedule_first_try()
-        cls, tenant, now = tries.cls[i], tries.tenant[i], simulation.engine.now
+        cls, tenant, now = tries.cls[first_try], tries.tenant[first_try], simulation.engine.now
         within_quota = True
         if self.bucket_levels:
             leaked = (
@@ -147,25 +147,33 @@
             self.bucket_levels[tenant], self.bucket_updated_at[tenant] = max(0.0, leaked), now
             within_quota = self.bucket_levels[tenant] <= simulation.plan.quotas[tenant]
             self.bucket_levels[tenant] += within_quota
-        self.within_quota[i] = within_quota
-        simulation.scorer.record_request(int(now / 1000), cls, tenant, self.worth_of(i), within_quota)
-        simulation.scorer.counters.requested_work_ms += tries.work[i]
-        self.begin_try(i, 0, now)
+        self.within_quota[first_try] = within_quota
+        simulation.scorer.record_request(int(now / 1000), cls, tenant, self.worth_of(first_try), within_quota)
+        simulation.scorer.counters.requested_work_ms += tries.work[first_try]
+        self.begin_try(first_try, 0, now)
 
     def stop_first_tries(self) -> None:
         """Send no further first tries."""
         self.next_first_try = len(self.simulation.plan.tries.at)
 
-    def worth_of(self, i: int) -> float:
+    def worth_of(self, first_try: int) -> float:
         scenario = self.simulation.scenario
-        part = 1.0 if self.within_quota[i] else scenario.load.over_share_worth
-        return part * scenario.classes[self.simulation.plan.tries.cls[i]].worth
+        part = 1.0 if self.within_quota[first_try] else scenario.load.over_share_worth
+        return part * scenario.classes[self.simulation.plan.tries.cls[first_try]].worth
 
-    def begin_try(self, i: int, number: int, first_try_at: float) -> None:
+    def begin_try(self, first_try: int, number: int, first_try_at: float) -> None:
         simulation, tries = self.simulation, self.simulation.plan.tries
-        request_class, now = simulation.scenario.classes[tries.cls[i]], simulation.engine.now
+        request_class, now = simulation.scenario.classes[tries.cls[first_try]], simulation.engine.now
         due = min(now + self.try_share * request_class.deadline_ms, first_try_at + request_class.deadline_ms)
-        request = ClientTry(i, number, tries.cls[i], tries.tenant[i], tries.zone[i], first_try_at, due)
+        request = ClientTry(
+            first_try,
+            number,
+            tries.cls[first_try],
+            tries.tenant[first_try],
+            tries.zone[first_try],
+            first_try_at,
+            due,
+        )
         simulation.scorer.tries += 1
         simulation.engine.call_at(due, self.on_try_timeout, request)
         process = simulation.front.pick_process(request)
@@ -191,7 +199,7 @@
         if request.finished:
             return
         request.finished = True
-        simulation, i = self.simulation, request.first_try
+        simulation, first_try = self.simulation, request.first_try
         request_class, now = simulation.scenario.classes[request.cls], simulation.engine.now
         elapsed_ms = now - request.first_try_at
         part = (
@@ -204,18 +212,18 @@
         (self.outcomes.in_time if elapsed_ms <= request_class.aim_ms else self.outcomes.late)[
             request.cls
         ] += 1
-        second, within_quota = int(request.first_try_at / 1000), self.within_quota.pop(i)
+        second, within_quota = int(request.first_try_at / 1000), self.within_quota.pop(first_try)
         worth = request_class.worth * (1.0 if within_quota else simulation.scenario.load.over_share_worth)
         simulation.scorer.record_served(second, request.cls, request.tenant, part * worth, within_quota)
 
-    def on_refused(self, request: ClientTry, wait: float, process: SimulatedNode) -> None:
+    def on_refused(self, request: ClientTry, wait_ms: float, process: SimulatedNode) -> None:
         if request.finished:
             return
         simulation = self.simulation
         self.outcomes.refused[request.cls] += 1
         simulation.scorer.refused[min(int(simulation.engine.now / 1000), simulation.seconds - 1)] += 1
         honours_header = simulation.honours_retry_after(request.first_try, self.honour_share)
-        self.schedule_retry(request, max(self.backoff_ms, wait) if honours_header else self.backoff_ms)
+        self.schedule_retry(request, max(self.backoff_ms, wait_ms) if honours_header else self.backoff_ms)
 
     def on_failed(self, request: ClientTry) -> None:
         """Clients retry a failed request only where a repeat does no harm."""
@@ -238,16 +246,16 @@
 
     on_cut_off = on_failed
 
-    def schedule_retry(self, request: ClientTry, wait: float) -> None:
+    def schedule_retry(self, request: ClientTry, wait_ms: float) -> None:
         """Schedule a client's next try, unless its retries or its deadline are used up."""
         simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
         request.finished = True
         if (
             request.number < int(self.max_retries)
-            and simulation.engine.now + wait < request.first_try_at + request_class.deadline_ms
+            and simulation.engine.now + wait_ms < request.first_try_at + request_class.deadline_ms
         ):
             simulation.engine.call_after(
-                wait, self.begin_try, request.first_try, request.number + 1, request.first_try_at
+                wait_ms, self.begin_try, request.first_try, request.number + 1, request.first_try_at
             )
         else:
             self.record_unserved(request)
@@ -530,8 +538,10 @@
         self.happened.append((happening.name, begin, begin + happening.length / 1000))
 
     def take_sample(self) -> None:
-        out = {i for group in self.processes for process in group for i in process.cordoned_since}
-        capacity = sum(self.current_capacity(s) for s in self.servers if s.id not in out) / self.mean_work_ms
+        cordoned = {i for group in self.processes for process in group for i in process.cordoned_since}
+        capacity = (
+            sum(self.current_capacity(s) for s in self.servers if s.id not in cordoned) / self.mean_work_ms
+        )
         self.samples.append(
             Sample(
                 at=round(self.engine.now / 1000, 3),
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -56,8 +56,8 @@
         admin_addresses = {str(node): (str(node),) for node in range(len(simulation.processes))}
         self.state_machine = ReleaseStateMachine(plan, self.release, self.standings, admin_addresses)
         self.ended_at = float("inf")
-        self.max_out = 0
-        self.halted_with = 0  # members on the new version when it was found bad
+        self.max_members_out = 0
+        self.members_at_halt = 0  # members on the new version when it was found bad
         self.on_release_over: Callable[[], None] = lambda: None
         simulation.on_attempt, simulation.on_request_finished = (
             self.on_attempt_finished,
@@ -75,13 +75,13 @@
         return metrics
 
     def on_attempt_finished(
-        self, process: SimulatedNode, attempt: Attempt, result: AttemptResult, took: float
+        self, process: SimulatedNode, attempt: Attempt, result: AttemptResult, elapsed_ms: float
     ) -> None:
         server = self.simulation.servers[attempt.server]
         metrics = self.metrics_of(process)
         if attempt.server not in metrics.servers:
             metrics.listed(attempt.server, str(attempt.server), server.started_at)
-        metrics.ended(attempt.server, attempt.cls, result, took)
+        metrics.ended(attempt.server, attempt.cls, result, elapsed_ms)
 
     def on_request_finished(self, process: SimulatedNode, cls: int, result_index: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
@@ -92,11 +92,13 @@
 
     def tick(self) -> None:
         now = self.simulation.engine.now / 1000
-        rolling = self.release.state is State.ROLLING
+        was_rolling = self.release.state is State.ROLLING
         actions = self.state_machine.tick(now, self.take_snapshot(now))
-        if rolling and self.release.state is State.GOING_BACK:
-            self.halted_with = sum(version == self.plan.to for version in self.running_versions.values())
-        self.max_out = max(self.max_out, sum(member.out for member in self.standings.values()))
+        if was_rolling and self.release.state is State.GOING_BACK:
+            self.members_at_halt = sum(version == self.plan.to for version in self.running_versions.values())
+        self.max_members_out = max(
+            self.max_members_out, sum(member.out for member in self.standings.values())
+        )
         if self.state_machine.over:
             self.ended_at = now
             self.on_release_over()
@@ -115,30 +117,37 @@
             if (number := s.plan.number) in started
         }
         nodes = {}
-        for node, group in enumerate(self.simulation.processes):
-            processes = tuple(self.observe_process(process, started) for process in group if process.alive)
+        for node, node_processes in enumerate(self.simulation.processes):
+            processes = tuple(
+                self.observe_process(process, started) for process in node_processes if process.alive
+            )
             nodes[str(node)] = NodeView(str(node), processes, "" if processes else "connection refused")
         return Snapshot(now, nodes, listed)
 
     def observe_process(self, process: SimulatedNode, started: dict[int, int]) -> ProcessView:
         metrics, held = self.metrics_of(process), Counter(a.server for a in process.open_attempts.values())
-        out = {self.simulation.servers_by_id[i].plan.number for i in process.cordoned_since}
+        cordoned = {self.simulation.servers_by_id[i].plan.number for i in process.cordoned_since}
         servers = {}
-        for number, at in started.items():
+        for number, started_at in started.items():
             server_metrics = metrics.servers.get(number)
-            if server_metrics is not None and round(server_metrics.started) != at:
-                metrics.listed(number, str(number), float(at))
+            if server_metrics is not None and round(server_metrics.started) != started_at:
+                metrics.listed(number, str(number), float(started_at))
                 server_metrics = None
             classes = {}
             for cls, name in enumerate(self.classes):
                 if server_metrics is None:
                     classes[name] = Answers()
                     continue
-                took = Counter({b: n for b, n in enumerate(server_metrics.took[cls]) if n})
+                duration_counts = Counter({b: n for b, n in enumerate(server_metrics.took[cls]) if n})
                 classes[name] = Answers(
-                    took.total(), server_metrics.failed[cls], server_metrics.unstarted[cls], took
+                    duration_counts.total(),
+                    server_metrics.failed[cls],
+                    server_metrics.unstarted[cls],
+                    duration_counts,
                 )
-            servers[str(number)] = ServerCounters(held.get(number, 0), number in out, at, classes)
+            servers[str(number)] = ServerCounters(
+                held.get(number, 0), number in cordoned, started_at, classes
+            )
         counts = self.request_counts.get(process, [[0, 0, 0] for _ in self.classes])
         results = {n: (c[0], c[1], c[2]) for n, c in zip(self.classes, counts, strict=True)}
         return ProcessView(f"{process.node}-{id(process)}", "ready", servers, results)
@@ -148,9 +157,11 @@
     def perform_action(self, action: Action) -> None:
         engine, server = self.simulation.engine, self.servers[action.member]
         if action.do in (ActionKind.CORDON, ActionKind.UNCORDON):
-            unreachable = [node for node, group in enumerate(self.simulation.processes) if not group]
-            for group in self.simulation.processes:
-                for process in group:
+            unreachable = [
+                node for node, node_processes in enumerate(self.simulation.processes) if not node_processes
+            ]
+            for node_processes in self.simulation.processes:
+                for process in node_processes:
                     call = process.cordon if action.do is ActionKind.CORDON else process.uncordon
                     engine.call_after(ADMIN_CALL_MS * self.uniform(), call, server.id)
             error = f"{unreachable[0]}: connection refused" if unreachable else ""
