--- a/flaxstep/simulator/fault_config.py
+++ b/flaxstep/simulator/fault_config.py
@@ -30,9 +30,9 @@
     - hold: new connections are never established.
     - kill, stop (and continue), term, restart: of a process, which is back after `for_s`, unless that is 0.
     - down: discovery resets its calls.
-    - listing: discovery runs but misbehaves as `how` says. slow: calls take `size` s; refuse: refused
-      after `size` s; reset: reset; hang: never answered; silent: open watches send nothing; close: they are
-      closed in place of a change. With silent and close, calls take `size` s.
+    - listing: discovery runs but misbehaves as in `how`. slow: calls take `size` s. refuse: calls are refused
+      after `size` s. reset: calls are reset. hang: calls never end. silent: open watches send nothing. close:
+      open watches are closed in place of a change. With silent and close, calls take `size` s as well.
     - clock: a node's clock jumps by `size` s (`way` "back": backwards); at 0 s the node starts with it.
     - disk: a node's folder is full (`size` 0), or every write fails (1).
     """
--- a/flaxstep/simulator/sampling.py
+++ b/flaxstep/simulator/sampling.py
@@ -86,6 +86,7 @@
 
 
 def draw_plan(scenario: Scenario, seed: int) -> Plan:
+    """Draw a run. The order of the draws matters: a change of it changes the runs of every seed."""
     streams = RandomStreams(seed)
     day_draws = streams.generator("day")
     length = 1000.0 * draw_value(day_draws, scenario.length_s)
@@ -122,18 +123,24 @@
     return Plan(seed, length, servers, node_zones, throttling, figures, troubles, acts, tries, quotas, noise)
 
 
-def draw_happening(what: Trouble | Act, generator: np.random.Generator) -> Happening:
-    at = 1000 * draw_value(generator, what.at_s)
+def draw_happening(config: Trouble | Act, generator: np.random.Generator) -> Happening:
+    at = 1000 * draw_value(generator, config.at_s)
     seed = int(generator.integers(1 << 62))
-    if isinstance(what, Act):
-        length, down = 1000 * draw_value(generator, what.for_s), 1000 * draw_value(generator, what.down_s)
-        return Happening(what.name, at, length, extra=down, first=what.from_, count=what.count, seed=seed)
-    length = 1000 * draw_value(generator, what.len_s)
-    part, size, extra = (draw_value(generator, value) for value in (what.part, what.size, what.extra))
-    return Happening(what.name, at, length, part, size, extra, what.steps, seed=seed)
+    if isinstance(config, Act):
+        length, down_ms = (
+            1000 * draw_value(generator, config.for_s),
+            1000 * draw_value(generator, config.down_s),
+        )
+        return Happening(
+            config.name, at, length, extra=down_ms, first=config.from_, count=config.count, seed=seed
+        )
+    length = 1000 * draw_value(generator, config.len_s)
+    part, size, extra = (draw_value(generator, value) for value in (config.part, config.size, config.extra))
+    return Happening(config.name, at, length, part, size, extra, config.steps, seed=seed)
 
 
 def draw_servers(scenario: Scenario, generator: np.random.Generator) -> list[ServerPlan]:
+    """Draw the servers: their kinds, zones and cells, and the properties of each."""
     fleet, conn = scenario.fleet, scenario.conn
     counts = split_by_shares([kind.share for kind in scenario.kinds], fleet.servers)
     kinds = [i for i, count in enumerate(counts) for _ in range(count)]
--- a/flaxstep/simulator/simulation.py
+++ b/flaxstep/simulator/simulation.py
@@ -97,6 +97,7 @@
             self.nodes_by_zone[zones[i]].append(i)
 
     def set_node_up(self, node: int, is_up: bool) -> None:
+        """Change what the balancer believes of a node."""
         if self.believed_up[node] != is_up:
             self.believed_up[node] = is_up
             self.rebuild_targets()
@@ -122,7 +123,7 @@
         self.next_first_try = 0
         self.bucket_levels = [0.0] * len(simulation.plan.quotas)  # a leaky bucket per tenant, 1 s deep
         self.bucket_updated_at = [0.0] * len(simulation.plan.quotas)
-        self.within_quota: dict[int, bool] = {}
+        self.within_quota: dict[int, bool] = {}  # by first try, while its client has no final outcome
         none = [0] * len(simulation.scenario.classes)
         self.outcomes = Outcomes(*(none[:] for _ in range(6)))
 
@@ -261,6 +262,7 @@
             self.record_unserved(request)
 
     def record_unserved(self, request: ClientTry) -> None:
+        """The client gives up for good."""
         simulation, request_class = self.simulation, self.simulation.scenario.classes[request.cls]
         self.outcomes.unserved[request.cls] += 1
         if simulation.engine.now > request.first_try_at + request_class.aim_ms:
@@ -371,7 +373,7 @@
         self.handshake_work_ms = figures["conn.handshake_us"] / 1000
         self.cancel_running = bool(figures["cancel_running"])
         self.uniform_jitter = self.streams.uniform("jitter")
-        self.partitioned_zones: set[int] = set()  # zones cut off from the others
+        self.partitioned_zones: set[int] = set()
         self.mean_work_ms = sum(plan.tries.work) / max(1, len(plan.tries.work))
         self.logs: list[tuple[float, int, str]] = []
         self.on_attempt: Callable[[SimulatedNode, Attempt, Result, float], None] | None = None
