--- a/flaxstep/proxy/connection_close.py
+++ b/flaxstep/proxy/connection_close.py
@@ -1,4 +1,4 @@
-"""What both doors write in the same way: status lines, and the end of a connection."""
+"""Status lines, and ways to close or abort a connection, for clients, servers and the admin port."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 from contextlib import suppress
 from http import HTTPStatus
 
-LINGER = 1.0  # s to discard what still comes after an answer that ends the connection
-STALL = 5.0  # s without taking a byte of that answer after which the rest of it is given up
+LINGER_TIMEOUT_S = 1.0  # how long input is discarded after the last response
+WRITE_STALL_TIMEOUT_S = 5.0  # without a byte of that response sent, the rest of it is given up
 
-STATUS_LINES = {s.value: f"HTTP/1.1 {s.value} {s.phrase}\r\nContent-Length: ".encode() for s in HTTPStatus}
+STATUS_LINES = {
+    status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\nContent-Length: ".encode()
+    for status in HTTPStatus
+}
 
 
 def close_after_response(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport) -> None:
-    """End a connection after its last answer.
+    """Close a connection after its last response (a lingering close).
 
-    A plain close with bytes unread would reset it under that answer, so first only the sending ends: what
-    still comes is read and thrown away until the other side has closed too, or has had its time for that.
+    A plain close with unread input would reset the connection, and the client could lose the response. So
+    only the sending side is closed first. Input is read and discarded until the client closes too or
+    LINGER_TIMEOUT_S has passed.
     """
     if transport.is_closing() or not transport.can_write_eof():
         transport.close()
@@ -28,42 +32,52 @@
     _linger(loop, transport, transport.get_write_buffer_size(), loop.time())
 
 
-def _linger(loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, left: int, since: float) -> None:
-    """Wait on while the other side still takes what was written: `left` bytes since `since`."""
+def _linger(
+    loop: asyncio.AbstractEventLoop, transport: asyncio.Transport, unsent_bytes: int, unchanged_since: float
+) -> None:
+    """Abort the connection once it has lingered, or once its client has stopped reading the response.
+
+    `unsent_bytes` have been left in the write buffer since the loop time `unchanged_since`.
+    """
     if transport.is_closing():
         return
-    now_left = transport.get_write_buffer_size()
-    if now_left != left:
-        left, since = now_left, loop.time()
-    if loop.time() - since >= (STALL if left else LINGER):
+    now_unsent_bytes = transport.get_write_buffer_size()
+    if now_unsent_bytes != unsent_bytes:
+        unsent_bytes, unchanged_since = now_unsent_bytes, loop.time()
+    if loop.time() - unchanged_since >= (WRITE_STALL_TIMEOUT_S if unsent_bytes else LINGER_TIMEOUT_S):
         transport.abort()
     else:
-        loop.call_later(LINGER / 4, _linger, loop, transport, left, since)
+        loop.call_later(LINGER_TIMEOUT_S / 4, _linger, loop, transport, unsent_bytes, unchanged_since)
 
 
-def unread_poll(descriptor: int) -> select.poll:
-    """What tells, when asked, of all that has come and the loop has not read: a byte, an end or a reset."""
-    asked = select.poll()
-    asked.register(descriptor, select.POLLIN | select.POLLRDHUP)
-    return asked
+def poll_unread_input(descriptor: int) -> select.poll:
+    """Return a poll object that reports input the loop has not read yet: bytes, end of stream or reset."""
+    poller = select.poll()
+    poller.register(descriptor, select.POLLIN | select.POLLRDHUP)
+    return poller
 
 
-def abort_now(transport: asyncio.Transport) -> None:
-    """End a connection in this very step: the transport's own end waits for the loop's next turn."""
-    sock = transport.get_extra_info("socket")
-    if sock is not None and not transport.is_closing():
-        bare = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
+def abort_immediately(transport: asyncio.Transport) -> None:
+    """Close a connection within this call: the transport itself would close it in the loop's next turn."""
+    connection_socket = transport.get_extra_info("socket")
+    if connection_socket is not None and not transport.is_closing():
+        borrowed_socket = socket.socket(
+            connection_socket.family,
+            connection_socket.type,
+            connection_socket.proto,
+            fileno=connection_socket.fileno(),
+        )
         try:
-            with suppress(OSError):  # the other side may have ended it
-                bare.shutdown(socket.SHUT_WR)
+            with suppress(OSError):  # the other side may have closed it
+                borrowed_socket.shutdown(socket.SHUT_WR)
         finally:
-            bare.detach()  # the descriptor stays the transport's
+            borrowed_socket.detach()  # the descriptor stays the transport's
     transport.abort()
 
 
-def reset(transport: asyncio.Transport) -> None:
-    """End a connection so that the other side can tell it from an orderly end."""
-    sock = transport.get_extra_info("socket")
-    if sock is not None and not transport.is_closing():
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+def reset_connection(transport: asyncio.Transport) -> None:
+    """Abort a connection with a TCP reset, which the other side can tell from an orderly close."""
+    connection_socket = transport.get_extra_info("socket")
+    if connection_socket is not None and not transport.is_closing():
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door over loopback sockets: who is answered, and what each call does."""
+"""The admin port over loopback sockets: request handling, quiesce and resume."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from tests.net import WAIT, Peer, answer_ok, field, request, running
 from tests.test_node import run
 
-DOOR = ("127.0.0.1", 0)
+ADMIN_ADDRESS = ("127.0.0.1", 0)
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
 
 
-async def until(holds: Any) -> None:
+async def wait_until(condition: Any) -> None:
     async with asyncio.timeout(WAIT):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_without_an_address_there_is_no_door() -> None:
+def test_no_admin_port_without_address() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert stand.node.door is None
@@ -33,7 +33,7 @@
     return b"\r\n".join((start, b"Host: n0", *lines, b"", body))
 
 
-REFUSED = [
+INVALID_CALLS = [
     (call(b"GET /admin/nothing HTTP/1.1"), 404),
     (call(b"GET /find/1 HTTP/1.1"), 404),
     (call(b"DELETE /admin/health HTTP/1.1"), 405),
@@ -48,13 +48,13 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "status"), REFUSED, ids=range(len(REFUSED)))
-def test_a_bad_call_gets_the_fitting_no(data: bytes, status: int) -> None:
+@pytest.mark.parametrize(("data", "status"), INVALID_CALLS, ids=range(len(INVALID_CALLS)))
+def test_invalid_call_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             caller = await stand.caller()
-            got, head, body = await caller.ask(data)
-            assert (got, field(head, b"Connection")) == (status, b"close")
+            received_status, head, body = await caller.ask(data)
+            assert (received_status, field(head, b"Connection")) == (status, b"close")
             assert body.endswith(b"\n") and b"Traceback" not in body
             assert await caller.end() == b""
             assert await stand.call("GET", "health") == (200, "ready\n")
@@ -62,23 +62,23 @@
     run(test())
 
 
-def test_a_call_that_fails_is_answered_and_logged(caplog: pytest.LogCaptureFixture) -> None:
-    def broken(_: bytes) -> admin.Reply:
+def test_exception_in_call_gets_500_and_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+    def failing_call(_: bytes) -> admin.Reply:
         raise RuntimeError("broken on purpose")
 
-    status, text, _ = admin.AdminServer(asyncio.new_event_loop(), {b"/admin/x": (b"POST", broken)}).reply(
-        b"POST", b"/admin/x", b""
-    )
+    status, text, _ = admin.AdminServer(
+        asyncio.new_event_loop(), {b"/admin/x": (b"POST", failing_call)}
+    ).handle_call(b"POST", b"/admin/x", b"")
     assert status == 500 and "broken" not in text
     assert "broken on purpose" in caplog.text
 
 
-def test_callers_that_stall_starve_nobody_and_are_told_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin, "CALL_TIME", 0.3)
+def test_stalled_callers_get_408_and_block_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
-            stalled = [await stand.caller() for _ in range(3 * admin.MAX_CALLERS)]
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
+            stalled = [await stand.caller() for _ in range(3 * admin.MAX_CONNECTIONS)]
             for caller in stalled[::2]:
                 caller.writer.write(b"POST /admin/quiesce HTTP/1.1\r\nContent-Le")
             assert await stand.call("GET", "health") == (200, "ready\n")
@@ -89,9 +89,9 @@
     run(test())
 
 
-def test_a_call_may_come_in_pieces_and_only_the_first_on_a_connection_counts() -> None:
+def test_call_may_arrive_in_parts_and_only_first_is_served() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             caller = await stand.caller()
             data = call(b"GET /admin/health HTTP/1.1") + call(b"POST /admin/quiesce HTTP/1.1")
             for i in range(len(data)):
@@ -104,48 +104,48 @@
     run(test())
 
 
-def test_health_at_the_door_waits_for_a_list() -> None:
+def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
-        async with running(admin=DOOR, known={}) as stand:
-            stand.node.healthy = False  # as before the first list
+        async with running(admin=ADMIN_ADDRESS, known_list={}) as stand:
+            stand.node.healthy = False  # the state before the first list
             assert (await stand.call("GET", "health"))[0] == 503
 
     run(test())
 
 
-def test_quiesce_empties_the_node_and_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "FRESH", 0.1)
+def test_quiesce_drains_node_without_losing_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_connections, "DRAIN_GRACE_FOR_NEW_S", 0.1)
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         await answer_ok(peer, head, writer)
 
     async def test() -> None:
-        peer = await Peer(held_back).start()
-        async with running(peer, admin=DOOR) as stand:
-            idle, holder = await stand.client(), await stand.client()
+        peer = await Peer(delayed_response).start()
+        async with running(peer, admin=ADMIN_ADDRESS) as stand:
+            idle, pending = await stand.client(), await stand.client()
             release.set()
             assert (await idle.ask(request()))[0] == 200
             release.clear()
-            holder.writer.write(request())
-            await until(lambda: len(stand.node.held) == 1)
+            pending.writer.write(request())
+            await wait_until(lambda: len(stand.node.held) == 1)
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert (await stand.call("POST", "quiesce"))[0] == 200
-            assert await idle.end() == b""  # closed though nothing was asked
-            late = await stand.client()  # before the front has turned away
-            late.writer.write(request())
-            await until(lambda: len(stand.node.held) == 2)
+            assert await idle.end() == b""  # closed without a request on it
+            newcomer = await stand.client()  # the client has not switched to another node yet
+            newcomer.writer.write(request())
+            await wait_until(lambda: len(stand.node.held) == 2)
             silent = await stand.client()
             assert (await (await stand.client()).ask(HEALTH))[0] == 503
             assert (await stand.call("GET", "health"))[0] == 503
-            assert await silent.end() == b""  # one that brings nothing is not held
+            assert await silent.end() == b""  # a connection without a request is closed
             release.set()
-            for waiting in (holder, late):
+            for waiting in (pending, newcomer):
                 status, head, _ = await waiting.answer()
                 assert (status, field(head, b"Connection")) == (200, b"close")
                 assert await waiting.end() == b""
-            await until(lambda: not stand.node.listener.connections)
+            await wait_until(lambda: not stand.node.listener.connections)
             assert (await stand.call("POST", "resume"))[0] == 200
             assert (await stand.call("POST", "resume"))[0] == 200
             assert await stand.call("GET", "health") == (200, "ready\n")
@@ -156,14 +156,14 @@
     run(test())
 
 
-def test_sigterm_ends_a_quiesced_node_and_leaves_no_way_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_ends_quiesced_node_and_rejects_resume(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
 
     async def test() -> None:
-        async with running(await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             assert (await stand.call("POST", "quiesce"))[0] == 200
             drain = asyncio.ensure_future(stand.node.drain())
-            await until(lambda: stand.node.stopping)
+            await wait_until(lambda: stand.node.stopping)
             assert (await stand.call("POST", "resume"))[0] == 409
             assert (await stand.call("GET", "health"))[0] == 503
             await asyncio.wait_for(drain, WAIT)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node over loopback sockets: what goes on, what comes back, and what the module is told of it."""
+"""The node over loopback sockets: forwarding, responses, connection handling, and events for the policy."""
 
 from __future__ import annotations
 
@@ -53,28 +53,28 @@
     uvloop.run(test)
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
-        typed = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        peer = await Peer(answer(typed)).start()
+        typed_response = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
+        peer = await Peer(answer(typed_response)).start()
         async with running(peer) as stand:
             client = await stand.client()
             data = request("book", body=b"\x00ride", Tenant="acme").replace(b"/cab7", b"/cab7?a=1&b=%20")
             status, head, body = await client.ask(data)
             assert (status, body, field(head, b"Content-Type")) == (200, b"done", b"x/y")
-            got = await peer.requests.get()
-            assert got.startswith(b"POST /book/cab7?a=1&b=%20 HTTP/1.1\r\n") and got.endswith(
+            forwarded = await peer.requests.get()
+            assert forwarded.startswith(b"POST /book/cab7?a=1&b=%20 HTTP/1.1\r\n") and forwarded.endswith(
                 b"\r\n\r\n\x00ride"
             )
             for name in (b"Request-Id", b"Idempotency-Key", b"Tenant", b"Host"):
-                assert field(got, name) == field(data, name)
-            left = field(got, b"Request-Timeout")
+                assert field(forwarded, name) == field(data, name)
+            left = field(forwarded, b"Request-Timeout")
             assert left is not None and left.endswith(b"m") and 0 < int(left[:-1]) <= 5000
 
     run(test())
 
 
-def test_a_target_in_absolute_form_reaches_the_server_as_a_path() -> None:
+def test_absolute_form_target_is_forwarded_as_path() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -87,7 +87,7 @@
     run(test())
 
 
-def test_ids_are_the_same_at_every_node_and_start() -> None:
+def test_stable_id_does_not_depend_on_node_or_start() -> None:
     assert stable_id(b"s-5be2a07c") == 0x850D21AD14919D0C
 
 
@@ -112,20 +112,20 @@
         (hang_up, Result.RESET),
     ],
 )
-def test_outcomes(script: Script, result: Result) -> None:
+def test_attempt_results_and_response_statuses(script: Script, result: Result) -> None:
     async def test() -> None:
         async with running(await Peer(script).start()) as stand:
             client = await stand.client()
             status, head, _ = await client.ask(request())
             assert (await stand.outcome()).result == result
             assert status == (200 if result is Result.OK else 503)
-            assert (field(head, b"Retry-After") is None) == (status == 200)  # who is refused is told when
+            assert (field(head, b"Retry-After") is None) == (status == 200)  # a refusal says when to retry
             assert not stand.node.held and not stand.node.pool.attempts
 
     run(test())
 
 
-def test_a_server_that_refuses_connections_is_unreachable() -> None:
+def test_refused_connection_makes_server_unreachable() -> None:
     async def test() -> None:
         peer = await Peer().start()
         peer.server.close()
@@ -136,7 +136,7 @@
     run(test())
 
 
-def test_a_server_whose_address_is_none_is_unreachable() -> None:
+def test_invalid_address_makes_server_unreachable() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -147,7 +147,7 @@
     run(test())
 
 
-def test_a_silent_server_times_out_and_its_connection_is_closed() -> None:
+def test_silent_server_times_out_and_connection_is_closed() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer, aim=1000.0) as stand:
@@ -158,7 +158,7 @@
     run(test())
 
 
-def test_an_unsafe_request_that_may_have_run_is_neither_resent_nor_refused() -> None:
+def test_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() -> None:
     async def test() -> None:
         peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
@@ -169,20 +169,20 @@
     run(test())
 
 
-def test_a_server_that_drains_while_a_dial_is_on_gets_nothing() -> None:
+def test_server_that_drains_during_dial_gets_no_request() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
             send = node.send
 
-            def drained_at_once(action: Send) -> None:
+            def send_then_drain(action: Send) -> None:
                 send(action)
                 stand.node.take_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            node.perform[Send] = drained_at_once
+            node.perform[Send] = send_then_drain
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(WAIT):
@@ -193,7 +193,7 @@
     run(test())
 
 
-def test_a_restart_leaves_the_old_connections_unused() -> None:
+def test_connections_from_before_server_restart_are_not_reused() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -208,7 +208,7 @@
     run(test())
 
 
-def test_servers_that_are_gone_are_forgotten_and_may_come_back() -> None:
+def test_removed_servers_are_forgotten_and_can_be_listed_again() -> None:
     async def test() -> None:
         peer, other = await Peer().start(), await Peer().start()
         async with running(peer) as stand:
@@ -227,7 +227,7 @@
     run(test())
 
 
-def test_a_connection_with_stray_bytes_is_not_used_again() -> None:
+def test_connection_with_extra_bytes_after_response_is_not_reused() -> None:
     async def test() -> None:
         peer = await Peer(answer(OK + OK)).start()
         async with running(peer) as stand:
@@ -239,7 +239,7 @@
     run(test())
 
 
-def test_a_connection_is_used_again() -> None:
+def test_server_connection_is_reused() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -251,7 +251,7 @@
     run(test())
 
 
-def test_a_client_that_goes_away_frees_everything() -> None:
+def test_disconnected_client_leaves_no_state_behind() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -268,18 +268,18 @@
     run(test())
 
 
-def test_a_cancelled_dial_leaves_no_connection_behind() -> None:
+def test_cancelled_dial_leaves_no_connection_behind() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
             send = stand.node.send
 
-            def cancelled_at_once(action: Send) -> None:
+            def send_then_cancel(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.perform[Send] = cancelled_at_once
+            stand.node.perform[Send] = send_then_cancel
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == Result.CANCELLED
             stand.node.perform[Send] = send
@@ -289,15 +289,15 @@
     run(test())
 
 
-def test_a_cancel_just_as_the_connection_is_up_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = ServerConnection.connection_made
+def test_cancel_at_connection_made_closes_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    connection_made = ServerConnection.connection_made
 
-    def cancelled_then(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
-        made(self, transport)
+    def cancel_when_made(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
+        connection_made(self, transport)
         for request_id, number in list(self.pool.attempts):
             self.pool.cancel(request_id, number)
 
-    monkeypatch.setattr(ServerConnection, "connection_made", cancelled_then)
+    monkeypatch.setattr(ServerConnection, "connection_made", cancel_when_made)
 
     async def test() -> None:
         peer = await Peer().start()
@@ -310,28 +310,28 @@
     run(test())
 
 
-def test_bytes_on_an_idle_connection_end_it(caplog: pytest.LogCaptureFixture) -> None:
+def test_bytes_on_idle_server_connection_close_it(caplog: pytest.LogCaptureFixture) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def keep(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def keep_writer(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
         writer.write(OK)
 
     async def test() -> None:
-        peer = await Peer(keep).start()
+        peer = await Peer(keep_writer).start()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
             writers[0].write(OK.replace(b"done", b"late"))
             await asyncio.wait_for(peer.ended.get(), WAIT)
-            assert not caplog.records  # it ended on purpose, not by an exception
+            assert not caplog.records  # closed on purpose, not by an exception
             assert (await client.ask(request()))[2] == b"done"
             assert peer.connections == 2
 
     run(test())
 
 
-def test_a_request_for_an_upgrade_is_served_as_any_other_and_the_last() -> None:
+def test_upgrade_request_is_served_as_last_request_of_connection() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -343,24 +343,24 @@
     run(test())
 
 
-def test_the_module_is_told_what_the_client_says_of_a_request() -> None:
+def test_policy_gets_class_tenant_key_hint_and_retry_mark() -> None:
     async def test() -> None:
         async with running(await Peer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
             client = await stand.client()
             assert (await client.ask(request(Tenant="nobody")))[0] == 400
             data = request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
             assert (await client.ask(data))[0] == 200
-            told = await stand.event(Request)
-            assert (told.cls, told.tenant, told.key) == (1, 1, stable_id(b"42"))
-            assert (told.hint, told.repeat) == (2.5, True)
+            event = await stand.event(Request)
+            assert (event.cls, event.tenant, event.key) == (1, 1, stable_id(b"42"))
+            assert (event.hint, event.repeat) == (2.5, True)
             assert (await client.ask(request(Tenant="acme", Work_Hint="much")))[0] == 200
-            told = await stand.event(Request)
-            assert (told.cls, told.tenant, told.hint, told.repeat) == (0, 0, 0.0, False)
+            event = await stand.event(Request)
+            assert (event.cls, event.tenant, event.hint, event.repeat) == (0, 0, 0.0, False)
 
     run(test())
 
 
-def test_white_space_round_a_header_is_no_part_of_it() -> None:
+def test_white_space_around_header_values_is_removed() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer, tenants={b"acme": 0}) as stand:
@@ -368,13 +368,13 @@
             assert (await (await stand.client()).ask(data.replace(b"Request-Timeout: 8000m\r\n", b"")))[
                 0
             ] == 200
-            got = await peer.requests.get()
-            assert (field(got, b"Tenant"), field(got, b"Idempotency-Key")) == (b"acme", b"5c0f")
+            forwarded = await peer.requests.get()
+            assert (field(forwarded, b"Tenant"), field(forwarded, b"Idempotency-Key")) == (b"acme", b"5c0f")
 
     run(test())
 
 
-def test_time_is_kept_back_for_the_way_to_the_client() -> None:
+def test_forwarded_timeout_leaves_margin_for_response() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -385,7 +385,7 @@
     run(test())
 
 
-def test_little_of_a_short_time_is_kept_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_margin_is_small_for_short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connections, "now_ms", lambda: 1000.0)
 
     async def test() -> None:
@@ -398,7 +398,7 @@
     run(test())
 
 
-def test_pipelined_requests_are_answered_in_order() -> None:
+def test_pipelined_requests_get_responses_in_order() -> None:
     async def echo(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
@@ -413,15 +413,15 @@
     run(test())
 
 
-def test_pipelined_requests_are_all_answered_when_the_node_stops() -> None:
+def test_pipelined_requests_all_get_responses_when_node_stops() -> None:
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(OK)
 
     async def test() -> None:
-        peer = await Peer(held_back).start()
+        peer = await Peer(delayed_response).start()
         async with running(peer) as stand:
             client = await stand.client()
             client.writer.write(request() * 3)
@@ -436,10 +436,10 @@
     run(test())
 
 
-def test_many_answers_at_once_do_not_nest() -> None:
+def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # else it is not ready yet
+            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # before that the node is not ready
             client = await stand.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -448,7 +448,7 @@
     run(test())
 
 
-BAD = [
+INVALID_REQUESTS = [
     (b"nonsense\r\n\r\n", 400, True),
     (request().replace(b"Request-Id", b"X-Id"), 400, False),
     (request().replace(b"Request-Timeout", b"X-Timeout"), 400, False),
@@ -480,8 +480,8 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "status", "ends"), BAD, ids=range(len(BAD)))
-def test_bad_input_is_told_and_goes_to_no_server(data: bytes, status: int, ends: bool) -> None:
+@pytest.mark.parametrize(("data", "status", "ends"), INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
+def test_invalid_request_is_rejected_and_not_forwarded(data: bytes, status: int, ends: bool) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -496,16 +496,16 @@
     run(test())
 
 
-def test_an_exception_in_the_policy_costs_its_request_alone(caplog: pytest.LogCaptureFixture) -> None:
+def test_policy_exception_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
             handle = stand.node.policy.handle
 
-            def broken(now: float, event: object) -> Any:
+            def raise_error(now: float, event: object) -> Any:
                 raise RuntimeError("broken on purpose")
 
-            stand.node.policy.handle = broken  # type: ignore[method-assign]
+            stand.node.policy.handle = raise_error  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 500
             stand.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
@@ -527,7 +527,7 @@
     ],
     ids=range(6),
 )
-def test_a_malformed_line_leaves_the_list_and_brings_a_whole_one(line: bytes) -> None:
+def test_malformed_watch_line_keeps_list_and_fetches_full_list(line: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -536,13 +536,13 @@
             stand.agent.lines.put_nowait(line + b"\n")
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
             assert await asyncio.wait_for(calls.get(), WAIT) == WATCH
-            # Not before the whole list has come: what the line was to tell counts as told.
+            # Only after the full list has arrived: a change in the malformed line counts as known.
             assert (await client.ask(request()))[0] == 200
 
     run(test())
 
 
-def test_a_watch_that_ends_is_opened_again_where_it_was() -> None:
+def test_ended_watch_resumes_at_its_version() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -556,7 +556,7 @@
     run(test())
 
 
-def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "SILENCE", 0.05)
 
     async def test() -> None:
@@ -569,7 +569,7 @@
     run(test())
 
 
-def test_a_client_that_waits_for_a_go_ahead_gets_it() -> None:
+def test_expect_continue_gets_100_response() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             client = await stand.client()
@@ -580,10 +580,10 @@
     run(test())
 
 
-def test_health_waits_for_a_list() -> None:
+def test_health_check_fails_without_list() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, known={}) as stand:
+        async with running(peer, known_list={}) as stand:
             client = await stand.client()
             await stand.event(ServerList)
             assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
@@ -594,24 +594,24 @@
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["pushed", "asked for"])
-def test_a_restarted_node_where_lists_are_pushed_waits_a_moment_for_the_first(
+def test_restarted_node_with_pushed_lists_waits_for_first_list(
     asks: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
     async def test() -> None:
         peer = await Peer().start()
-        # Where lists are pushed, a proof that discovery is down holds for half the grace; here there is one.
+        # Where lists are pushed, the list may be used for half the grace after discovery is known to be down.
+        # This test sets a grace.
         rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * WAIT)
         async with running(peer, settings=rules) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # an empty line: nothing has changed
-        monkeypatch.setattr(
-            discovery.Discovery, "run", lambda self: asyncio.Event().wait()
-        )  # it says nothing
+            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # confirmed by an empty line: no changes
+        # From here on discovery stays silent.
+        monkeypatch.setattr(discovery.Discovery, "run", lambda self: asyncio.Event().wait())
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
-            # What has changed since the list from before counts as told where it is pushed.
+            # Pushed changes since the list from before the restart count as known.
             assert (await client.ask(request()))[0] == (200 if asks else 503)
             stand.node.take_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
             stand.node.take_reach(Reach.CONFIRMED, now_ms())
@@ -621,14 +621,14 @@
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
-            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # it is down: the list from before has to do
+            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
 
     run(test())
 
 
-def test_a_late_answer_reaches_the_policy_and_not_the_client() -> None:
+def test_late_outcome_reaches_policy_but_not_client() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
         async with running(peer) as stand:
@@ -644,7 +644,7 @@
     run(test())
 
 
-def test_a_client_with_too_little_time_is_refused_at_once() -> None:
+def test_request_with_too_short_timeout_is_refused_at_once() -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
@@ -654,25 +654,25 @@
     run(test())
 
 
-def test_a_keyed_request_that_may_have_run_is_sent_again_with_its_key() -> None:
+def test_keyed_request_that_may_have_run_is_retried_with_its_key() -> None:
     async def test() -> None:
         peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
         async with running(*peers, attempts=4) as stand:
-            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             data = request("book")
             assert (await (await stand.client()).ask(data))[0] == 503
             for peer in peers:
-                got = await asyncio.wait_for(peer.requests.get(), WAIT)
-                assert field(got, b"Idempotency-Key") == b"5c0f"
-                assert field(got, b"Request-Id") == field(data, b"Request-Id")
+                forwarded = await asyncio.wait_for(peer.requests.get(), WAIT)
+                assert field(forwarded, b"Idempotency-Key") == b"5c0f"
+                assert field(forwarded, b"Request-Id") == field(data, b"Request-Id")
 
     run(test())
 
 
-def test_a_connection_that_was_idle_for_too_long_is_not_used() -> None:
+def test_server_connection_idle_for_too_long_is_not_reused() -> None:
     async def test() -> None:
         peer = await Peer().start()
-        async with running(peer, idle_timeout=0.0) as stand:
+        async with running(peer, idle_timeout_ms=0.0) as stand:
             client = await stand.client()
             for _ in range(2):
                 assert (await client.ask(request()))[0] == 200
@@ -681,7 +681,7 @@
     run(test())
 
 
-def test_connections_that_servers_end_early_are_not_used_for_as_long(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_limit_shrinks_when_servers_close_earlier(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [1000.0]
     for module in (client_connections, node, server_connections):
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
@@ -707,7 +707,7 @@
     run(test())
 
 
-def test_resets_at_any_age_leave_the_idle_limit_and_old_ones_are_forgotten() -> None:
+def test_resets_at_every_idle_time_keep_idle_limit_and_old_ones_expire() -> None:
     limit = IdleLimit(28000.0)
     for step in range(400):
         limit.note(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
@@ -720,34 +720,34 @@
     assert limit.ms == 28000.0
 
 
-def test_near_the_descriptor_limit_the_longest_idle_client_makes_room() -> None:
+def test_longest_idle_client_is_evicted_at_descriptor_limit() -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
-            crowd = [await stand.client() for _ in range(limit)]
-            for client in crowd:
+            limit = stand.node.listener.max_connections
+            clients = [await stand.client() for _ in range(limit)]
+            for client in clients:
                 assert (await client.ask(request()))[0] == 200
             newest = await stand.client()
             assert (await newest.ask(request()))[0] == 200
-            assert await crowd[0].end() == b""
-            assert (await crowd[1].ask(request()))[0] == 200
+            assert await clients[0].end() == b""
+            assert (await clients[1].ask(request()))[0] == 200
             assert len(stand.node.listener.connections) == limit
 
     run(test())
 
 
 @pytest.mark.parametrize("ask", [False, True])
-def test_a_crowd_stays_under_the_descriptor_limit_also_with_those_told_of_their_end(ask: bool) -> None:
+def test_lingering_connections_count_against_descriptor_limit(ask: bool) -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            listener, most = stand.node.listener, 0
-            crowd = []
-            for _ in range(2 * listener.limit):
-                crowd.append(await stand.client())
+            listener, max_open = stand.node.listener, 0
+            clients = []
+            for _ in range(2 * listener.max_connections):
+                clients.append(await stand.client())
                 if ask:
-                    assert (await crowd[-1].ask(request()))[0] == 200
-                most = max(most, len(listener.connections) + len(listener.lingering))
-            assert most <= listener.limit
+                    assert (await clients[-1].ask(request()))[0] == 200
+                max_open = max(max_open, len(listener.connections) + len(listener.lingering))
+            assert max_open <= listener.max_connections
             assert (await (await stand.client()).ask(request()))[0] == 200
 
     run(test())
@@ -765,8 +765,8 @@
     run(test())
 
 
-def test_a_request_that_never_ends_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connections, "REQUEST_TIME", 0.05)
+def test_request_that_never_completes_gets_408(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -782,47 +782,45 @@
     [b"", b"GET /find/1 HTTP/1.1\r\nHost:", b"GET /_health HTTP/1.1\r\n\r\n", request("unknown")],
     ids=["nothing", "part", "health", "improper"],
 )
-def test_a_connection_that_brings_no_proper_request_is_ended(
-    data: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(client_connections, "PROVE_TIME", 0.05)
-    monkeypatch.setattr(client_connections, "LOOK", 0.02)
+def test_connection_without_valid_request_is_closed(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_connections, "FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connections, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            proper, rude = await stand.client(), await stand.client()
-            assert (await proper.ask(request()))[0] == 200
-            rude.writer.write(data)
-            await rude.end()
-            assert (await proper.ask(request()))[0] == 200
+            valid, invalid = await stand.client(), await stand.client()
+            assert (await valid.ask(request()))[0] == 200
+            invalid.writer.write(data)
+            await invalid.end()
+            assert (await valid.ask(request()))[0] == 200
 
     run(test())
 
 
-def test_connections_that_bring_nothing_make_room_before_those_of_clients() -> None:
+def test_connections_without_valid_request_are_evicted_first() -> None:
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
-            proper = await stand.client()
-            assert (await proper.ask(request()))[0] == 200
-            crowd = [await stand.client() for _ in range(limit)]
-            for client in crowd[-5:]:
+            limit = stand.node.listener.max_connections
+            valid = await stand.client()
+            assert (await valid.ask(request()))[0] == 200
+            clients = [await stand.client() for _ in range(limit)]
+            for client in clients[-5:]:
                 assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert await crowd[0].end() == b""
-            assert (await proper.ask(request()))[0] == 200
+            assert await clients[0].end() == b""
+            assert (await valid.ask(request()))[0] == 200
             assert len(stand.node.listener.connections) <= limit
 
     run(test())
 
 
-def test_a_client_that_writes_slowly_outlives_silent_stopped_and_idle_ones(
+def test_slow_first_request_is_evicted_after_silent_stalled_and_idle_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_connections, "STOPPED", 1.0)
+    monkeypatch.setattr(client_connections, "FIRST_REQUEST_STALL_S", 1.0)
 
     async def test() -> None:
         async with running(await Peer().start(), sockets=96) as stand:
-            limit = stand.node.listener.limit
+            limit = stand.node.listener.max_connections
             idle = await stand.client()
             assert (await idle.ask(request()))[0] == 200
             stopped, slow, silent = [await stand.client() for _ in range(3)]
@@ -831,9 +829,9 @@
             for i in range(0, len(data), 16):
                 slow.writer.write(data[i : i + 16])
                 await asyncio.sleep(0.15)
-                if i == 128:  # the other has stopped for long by now
-                    crowd = [await stand.client() for _ in range(limit - 4)]
-                    for client in crowd:
+                if i == 128:  # the stalled client is over the limit by now
+                    clients = [await stand.client() for _ in range(limit - 4)]
+                    for client in clients:
                         assert (await client.ask(request()))[0] == 200
                     for first in (silent, stopped, idle):
                         assert not first.reader.at_eof()
@@ -845,15 +843,15 @@
     run(test())
 
 
-def test_small_writes_are_not_held_back() -> None:
+def test_connections_use_tcp_nodelay() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             assert (await (await stand.client()).ask(request()))[0] == 200
             (client,) = stand.node.listener.connections
             (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
             for connection in (client, server):
-                sock = connection.transport.get_extra_info("socket")
-                assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+                connection_socket = connection.transport.get_extra_info("socket")
+                assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(test())
 
@@ -863,15 +861,15 @@
                                       b"Content-Length: 3", b"Request-Id: 1", b"\x00", b"a", b"Upgrade: x",
                                       b"Connection: upgrade", b"Transfer-Encoding: chunked"])
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
-def test_no_bytes_of_a_client_bring_the_node_down(data: bytes) -> None:
+def test_node_survives_any_client_input(data: bytes) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
-            rude = await stand.client()
-            rude.writer.write(data)
-            rude.writer.write_eof()
-            with suppress(ConnectionError):  # a reset is as good an end
-                await rude.end()
+            invalid = await stand.client()
+            invalid.writer.write(data)
+            invalid.writer.write_eof()
+            with suppress(ConnectionError):  # a reset is allowed too
+                await invalid.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
             assert not stand.node.held
@@ -881,13 +879,13 @@
 
 @settings(max_examples=20, derandomize=True, database=None, deadline=None)
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
-def test_a_request_may_come_in_pieces(cuts: list[int]) -> None:
+def test_request_may_arrive_in_parts(cuts: list[int]) -> None:
     async def test() -> None:
         peer = await Peer().start()
         async with running(peer) as stand:
             client, data = await stand.client(), request("book", body=b"x" * 40)
-            places = [0, *sorted(cuts), len(data)]
-            for start, end in zip(places, places[1:], strict=False):
+            offsets = [0, *sorted(cuts), len(data)]
+            for start, end in zip(offsets, offsets[1:], strict=False):
                 client.writer.write(data[start:end])
                 await asyncio.sleep(0)
             assert (await client.answer())[0] == 200
