--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -20,7 +20,7 @@
 import numpy as np
 
 from flaxstep.rollout.plan import Commands, Plan, Room, Watch, Waves
-from flaxstep.rollout.release import ENDED, State
+from flaxstep.rollout.release import END_STATES, State
 from flaxstep.simulator.engine import Streams
 from flaxstep.simulator.fault_config import Figures
 from flaxstep.simulator.runner import HERE, player
@@ -117,8 +117,8 @@
 def summary(version: str, found: list[tuple[Outcome, float]], seconds: float) -> str:
     outcomes = [outcome for outcome, _ in found]
     done = sum(o.state is State.DONE for o in outcomes)
-    back = [o for o in outcomes if o.state is State.WENT_BACK]
-    gave_up = sum(o.state is State.GAVE_UP for o in outcomes)
+    back = [o for o in outcomes if o.state is State.ROLLED_BACK]
+    gave_up = sum(o.state is State.ABANDONED for o in outcomes)
     line = f"{version}: of {len(outcomes)} {done} done, {len(back)} went back, {gave_up} gave up"
     fallen, broken = sum(o.fallen for o in outcomes), sum(o.broken for o in outcomes)
     line += f"; cold servers fallen {fallen}, rules broken {broken}"
@@ -131,7 +131,7 @@
         most = np.percentile(harm, 95)
         line += f"; halted with the canary alone {alone}; ended after {ended:.0f} s"
         line += f"; harmed of what was asked till then {np.median(harm):.3%} (95 of 100 under {most:.3%})"
-    open_ = [number for number, o in enumerate(outcomes) if o.state not in ENDED]
+    open_ = [number for number, o in enumerate(outcomes) if o.state not in END_STATES]
     line += f"; not over when the day ended, seeds {open_}" if open_ else ""
     return f"{line}; {seconds:.0f} s"
 
--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -329,7 +329,7 @@
     with refusing():
         store, kept = newest(farm_path)
         try:
-            if kept.ended is None and kept.release.state not in (State.HALTED, State.GAVE_UP):
+            if kept.ended is None and kept.release.state not in (State.HALTED, State.ABANDONED):
                 raise CommandError(
                     f"release {kept.id} is {kept.release.state.value}: pause it, or call it back"
                 )
--- a/flaxstep/rollout/actions.py
+++ b/flaxstep/rollout/actions.py
@@ -13,14 +13,14 @@
 
     CORDON = "cordon"
     UNCORDON = "uncordon"
-    RUN = "restart"
+    RESTART = "restart"
     STOP = "stop"
-    ASK = "version"
+    VERSION = "version"
     PING = "ping"
     CHECK = "check"
 
 
-CHANGES = frozenset({ActionKind.CORDON, ActionKind.UNCORDON, ActionKind.RUN, ActionKind.STOP})
+MUTATING_ACTIONS = frozenset({ActionKind.CORDON, ActionKind.UNCORDON, ActionKind.RESTART, ActionKind.STOP})
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,21 +44,21 @@
 
 class Phase(Enum):
     SERVING = "in service"
-    TAKING_OUT = "being taken out at every node"
-    EMPTYING = "out, waiting for what is in flight"
-    AGAIN = "out, to be restarted"
+    CORDONING = "being taken out at every node"
+    DRAINING = "out, waiting for what is in flight"
+    RESTART_PENDING = "out, to be restarted"
     RESTARTING = "its command runs"
-    FINDING = "finding out what its command did"
-    PROVING = "restarted, to answer and be listed"
-    HANDING = "its process before is told to end"
-    LEAVING = "its process before ends"
-    RETURNING = "being called back at every node"
+    RESOLVING_RESTART = "finding out what its command did"
+    VERIFYING = "restarted, to answer and be listed"
+    STOPPING_PREDECESSOR = "its process before is told to end"
+    AWAITING_PREDECESSOR_EXIT = "its process before ends"
+    UNCORDONING = "being called back at every node"
     WARMING = "back, cold"
     DOWN = "not in service: it did not prove itself"
     GONE = "left the farm"
 
 
-OUTWARD = frozenset({Phase.TAKING_OUT, Phase.EMPTYING})  # nothing has been done that must be finished
+BEFORE_RESTART = frozenset({Phase.CORDONING, Phase.DRAINING})  # nothing has been done that must be finished
 IN_SERVICE = frozenset({Phase.SERVING, Phase.WARMING})
 
 
--- a/flaxstep/rollout/canary_analysis.py
+++ b/flaxstep/rollout/canary_analysis.py
@@ -30,7 +30,7 @@
 class Finding(Enum):
     GOOD = "nothing against it so far"
     BAD = "worse than the rest"
-    UNFIT = "nothing to compare with"
+    INSUFFICIENT_DATA = "nothing to compare with"
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,7 +147,9 @@
         self.answers += sum(line.answers for line in rest)
         self.fit = self.answers >= LEAST_REST and sum(line.answers for line in rest) > 0
         if not self.fit:
-            return Opinion(Finding.UNFIT, *self.best(), "too few answers of members that are not released")
+            return Opinion(
+                Finding.INSUFFICIENT_DATA, *self.best(), "too few answers of members that are not released"
+            )
         failing, slowing = self.bets
         failed, answers = self.recent
         self.recent[0] = failed + sum(line.failed for line in rest) - failed / RECENT
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -14,7 +14,7 @@
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot, look_at_list
 from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
 from flaxstep.rollout.plan import Member, Plan, PlanError
-from flaxstep.rollout.release import ENDED, Release, State, line_up
+from flaxstep.rollout.release import END_STATES, Release, State, line_up
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
 ASKED_AT_ONCE = 8  # commands
@@ -54,13 +54,13 @@
                 while not self.course.over:
                     begun = time.monotonic()
                     await self.look_once(acts)
-                    ended_at = (ended_at or begun) if self.kept.release.state in ENDED else None
+                    ended_at = (ended_at or begun) if self.kept.release.state in END_STATES else None
                     if ended_at is not None and begun - ended_at > watch.wait_s:
                         break
                     await asyncio.sleep(max(0.05, begun + watch.look_s - time.monotonic()))
         except ExceptionGroup as group:
             raise group.exceptions[0] from None
-        if self.kept.release.state in (State.DONE, State.WENT_BACK) and self.course.over:
+        if self.kept.release.state in (State.DONE, State.ROLLED_BACK) and self.course.over:
             self.store.end(self.kept.id, self.kept.release, self.kept.members)
 
     def take_orders(self) -> None:
@@ -151,7 +151,7 @@
 
     async def ask(member: MemberState) -> str:
         async with room:
-            result = await hands.do(Action(ActionKind.ASK, member.id, plan.to, doors.get(member.id, "")))
+            result = await hands.do(Action(ActionKind.VERSION, member.id, plan.to, doors.get(member.id, "")))
         if not result.ok:
             return f"{member.id}: its version can't be asked: {result.text}"
         member.version = result.text
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -32,9 +32,9 @@
             return await self.ping(act.member)
         commands = self.plan.commands
         words = {
-            ActionKind.RUN: commands.restart,
+            ActionKind.RESTART: commands.restart,
             ActionKind.STOP: commands.stop,
-            ActionKind.ASK: commands.version,
+            ActionKind.VERSION: commands.version,
             ActionKind.CHECK: commands.check,
         }[act.do]
         assert words is not None, "the plan has the commands that its steps ask for"
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from flaxstep.rollout.actions import CHANGES, Action, ActionKind, ActionResult, MemberState
+from flaxstep.rollout.actions import MUTATING_ACTIONS, Action, ActionKind, ActionResult, MemberState
 from flaxstep.rollout.plan import Plan
 from flaxstep.rollout.release import Release
 
@@ -191,7 +191,7 @@
         ids: list[int] = []
         with self.transaction():
             for act in acts:
-                if act.do not in CHANGES:
+                if act.do not in MUTATING_ACTIONS:
                     ids.append(0)
                     continue
                 done = self.db.execute(
--- a/flaxstep/rollout/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -9,7 +9,9 @@
 from flaxstep.rollout.snapshot import Listed, Snapshot
 
 MOST_CRASHES = 2  # of released members, and more than of the others
-AWAY = frozenset({Phase.FINDING, Phase.PROVING, Phase.DOWN})  # listed or not, nobody expects it to serve
+NOT_EXPECTED_TO_SERVE = frozenset(
+    {Phase.RESOLVING_RESTART, Phase.VERIFYING, Phase.DOWN}
+)  # listed or not, nobody expects it to serve
 
 
 def meet(members: dict[str, MemberState], listed: Mapping[str, Listed], version: str) -> None:
@@ -21,7 +23,7 @@
     for member in members.values():
         line = listed.get(member.id)
         if line is None:
-            replaced = member.phase in AWAY and any(new.zone == member.zone for new in come)
+            replaced = member.phase in NOT_EXPECTED_TO_SERVE and any(new.zone == member.zone for new in come)
             if member.phase is Phase.SERVING or replaced:
                 member.phase, member.note = Phase.GONE, "no longer listed"
         elif member.phase in (Phase.SERVING, Phase.WARMING):
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -49,13 +49,13 @@
     def restart(self, member: MemberState, now: float, door: str = "") -> Action:
         member.lost, member.before = False, member.started
         member.go(Phase.RESTARTING, now)
-        return Action(ActionKind.RUN, member.id, member.target, door)
+        return Action(ActionKind.RESTART, member.id, member.target, door)
 
     def recover(self, member: MemberState, act: Action, now: float) -> None:
         """An act whose result nobody has. All but the command are simply made again."""
-        if act.do is ActionKind.RUN:
+        if act.do is ActionKind.RESTART:
             member.lost = True
-            member.go(Phase.FINDING, now, "its command's result was lost with the controller")
+            member.go(Phase.RESOLVING_RESTART, now, "its command's result was lost with the controller")
 
     def warming(self, member: MemberState, now: float) -> None:
         if now - member.since >= self.times.warm:
@@ -78,28 +78,28 @@
         member.target = target
         member.tries += 1
         if member.phase is Phase.DOWN:
-            member.go(Phase.AGAIN, now, "")
+            member.go(Phase.RESTART_PENDING, now, "")
         else:
-            member.go(Phase.TAKING_OUT, now, "")
+            member.go(Phase.CORDONING, now, "")
 
     def undo(self, member: MemberState, now: float, note: str) -> None:
         """Before the command: back to service as it was."""
         member.target = member.version
-        member.go(Phase.RETURNING, now, note)
+        member.go(Phase.UNCORDONING, now, note)
 
     def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase = member.phase
-        if phase is Phase.TAKING_OUT:
+        if phase is Phase.CORDONING:
             return Action(ActionKind.CORDON, member.id)
-        if phase is Phase.EMPTYING:
+        if phase is Phase.DRAINING:
             return self.empty(member, view, now)
-        if phase is Phase.AGAIN:
+        if phase is Phase.RESTART_PENDING:
             return self.again(member, view, now)
-        if phase is Phase.FINDING:
+        if phase is Phase.RESOLVING_RESTART:
             return self.find(member, view, now)
-        if phase is Phase.PROVING:
+        if phase is Phase.VERIFYING:
             return self.prove(member, view, now)
-        if phase is Phase.RETURNING:
+        if phase is Phase.UNCORDONING:
             return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
         if phase is Phase.WARMING:
             self.warming(member, now)
@@ -109,7 +109,7 @@
         """Nothing in flight, as every node said after the cordon: now the command."""
         out = view.out(member.id) if view.at > member.since else None
         if out is not None and not view.taken_out(member.id):
-            member.go(Phase.TAKING_OUT, now)  # a node has started anew and knows nothing of it
+            member.go(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
             return Action(ActionKind.CORDON, member.id)
         if out == 0:
             return self.restart(member, now)
@@ -130,14 +130,14 @@
     def find(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """What its command did: the version that runs says it, or a start that the list tells of."""
         if self.asks.version:
-            act = self.paced(member, Action(ActionKind.ASK, member.id, member.target), now)
+            act = self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
         else:
             act = None
             line = (view.listed or {}).get(member.id)
             if line is not None and line.started != member.before:
-                member.go(Phase.PROVING, now)
+                member.go(Phase.VERIFYING, now)
         limit = self.times.command + self.times.settle
-        if member.phase is Phase.FINDING and now - member.since > limit:
+        if member.phase is Phase.RESOLVING_RESTART and now - member.since > limit:
             self.without_trace(member, now)
             return None
         return act
@@ -148,7 +148,7 @@
         if not member.lost or member.tries >= MOST_TRIES:
             member.fault = member.note or "its command did nothing"
         member.target, member.before = member.version, -1  # the list owes no news of a start
-        member.go(Phase.PROVING, now)
+        member.go(Phase.VERIFYING, now)
 
     def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """It answers, runs what it should, answers rightly, and is listed: in that order."""
@@ -158,7 +158,7 @@
         if member.proved == 0:
             return self.paced(member, Action(ActionKind.PING, member.id), now)
         if member.proved == 1 and self.asks.version:
-            return self.paced(member, Action(ActionKind.ASK, member.id, member.target), now)
+            return self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
         if member.proved <= 2 and self.asks.check:
             return self.paced(member, Action(ActionKind.CHECK, member.id, member.target), now)
         line = (view.listed or {}).get(member.id)
@@ -168,15 +168,15 @@
             return None
         member.version, member.started = member.target, line.started
         member.untold = line.started == member.before
-        member.go(Phase.RETURNING, now, "")
+        member.go(Phase.UNCORDONING, now, "")
         return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
 
     def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
-        if act.do is ActionKind.CORDON and member.phase is Phase.AGAIN:
+        if act.do is ActionKind.CORDON and member.phase is Phase.RESTART_PENDING:
             member.proved, member.note = int(result.ok), result.text
         elif act.do is ActionKind.CORDON:
             if result.ok:
-                member.go(Phase.EMPTYING, now)
+                member.go(Phase.DRAINING, now)
             else:
                 self.undo(member, now, f"not taken out: {result.text}")
         elif act.do is ActionKind.UNCORDON:
@@ -184,19 +184,19 @@
                 member.go(Phase.WARMING, now)
             else:
                 member.note = f"not called back yet: {result.text}"
-        elif act.do is ActionKind.RUN:
-            member.go(Phase.PROVING if result.ok else Phase.FINDING, now, result.text)
-        elif member.phase is Phase.FINDING:
+        elif act.do is ActionKind.RESTART:
+            member.go(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
+        elif member.phase is Phase.RESOLVING_RESTART:
             if result.ok and result.text == member.target:
-                member.go(Phase.PROVING, now, "")
-        elif member.phase is Phase.PROVING:
+                member.go(Phase.VERIFYING, now, "")
+        elif member.phase is Phase.VERIFYING:
             self.proved(member, act, result, now)
 
     def proved(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
         member.note = "" if result.ok else result.text
         if act.do is ActionKind.PING and result.ok:
             member.proved = 1
-        elif act.do is ActionKind.ASK and result.ok:
+        elif act.do is ActionKind.VERSION and result.ok:
             if result.text == member.target:
                 member.proved = 2
             else:
@@ -215,7 +215,7 @@
     def begin(self, member: MemberState, target: str, now: float) -> None:
         member.target = target
         member.tries += 1
-        member.go(Phase.EMPTYING, now, "")
+        member.go(Phase.DRAINING, now, "")
 
     def undo(self, member: MemberState, now: float, note: str) -> None:
         member.target = ""
@@ -228,27 +228,27 @@
 
     def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase, node = member.phase, view.nodes[member.id]
-        if phase is Phase.EMPTYING and node.processes and node.at(self.doors(member)[0]) is None:
+        if phase is Phase.DRAINING and node.processes and node.at(self.doors(member)[0]) is None:
             member.door = self.asks.doors[member.id].index(node.processes[0].door)  # restarted by others
         before, after = self.doors(member)
-        if phase is Phase.EMPTYING:
+        if phase is Phase.DRAINING:
             if node.at(after) is not None:
                 self.undo(member, now, f"somebody's process has its door at {after} already")
                 return None
             return self.restart(member, now, after)
-        if phase is Phase.FINDING:
+        if phase is Phase.RESOLVING_RESTART:
             if node.at(after) is not None:
-                member.go(Phase.PROVING, now)
+                member.go(Phase.VERIFYING, now)
             elif now - member.since > self.times.command + self.times.settle:
                 if not member.lost or member.tries >= MOST_TRIES:
                     member.fault = member.note or "its command started nothing"
                 self.undo(member, now, member.note)
             return None
-        if phase is Phase.PROVING:
+        if phase is Phase.VERIFYING:
             return self.prove(member, view, now)
-        if phase is Phase.HANDING:
+        if phase is Phase.STOPPING_PREDECESSOR:
             return self.paced(member, Action(ActionKind.STOP, member.id, member.version, before), now)
-        if phase is Phase.LEAVING:
+        if phase is Phase.AWAITING_PREDECESSOR_EXIT:
             self.leave(member, view, now)
         if phase is Phase.DOWN:  # its second process never said yes: it ends, the first serves on
             return self.paced(member, Action(ActionKind.STOP, member.id, member.target, after), now)
@@ -265,10 +265,10 @@
             self.fail(member, now, fault)
         elif process is not None and process.ready:
             if member.proved == 0 and self.asks.version:
-                return self.paced(member, Action(ActionKind.ASK, member.id, member.target, after), now)
+                return self.paced(member, Action(ActionKind.VERSION, member.id, member.target, after), now)
             if member.proved <= 1 and self.asks.check:
                 return self.paced(member, Action(ActionKind.CHECK, member.id, member.target, after), now)
-            member.go(Phase.HANDING, now, "")
+            member.go(Phase.STOPPING_PREDECESSOR, now, "")
         return None
 
     def leave(self, member: MemberState, view: Snapshot, now: float) -> None:
@@ -281,21 +281,21 @@
             member.go(Phase.WARMING, now, "")
         elif now - member.since > self.times.ready:
             member.fault = "two processes of it run on, though the first was told to end"
-            member.go(Phase.HANDING, now, member.fault)
+            member.go(Phase.STOPPING_PREDECESSOR, now, member.fault)
 
     def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
-        if act.do is ActionKind.RUN:
-            member.go(Phase.PROVING if result.ok else Phase.FINDING, now, result.text)
-        elif act.do is ActionKind.STOP and member.phase is Phase.HANDING:
+        if act.do is ActionKind.RESTART:
+            member.go(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
+        elif act.do is ActionKind.STOP and member.phase is Phase.STOPPING_PREDECESSOR:
             member.note = "" if result.ok else f"not told to end: {result.text}"
             if result.ok:
-                member.go(Phase.LEAVING, now)
+                member.go(Phase.AWAITING_PREDECESSOR_EXIT, now)
             elif now - member.since > self.times.ready:  # the new one serves; it must not be ended now
                 member.fault = member.note
         elif act.do is ActionKind.STOP and member.phase is Phase.DOWN:
             if result.ok:
                 self.undo(member, now, member.note)
-        elif act.do is ActionKind.ASK:
+        elif act.do is ActionKind.VERSION:
             if result.ok and result.text == member.target:
                 member.proved = 1
             else:
--- a/flaxstep/rollout/release.py
+++ b/flaxstep/rollout/release.py
@@ -14,17 +14,17 @@
 
 class State(Enum):
     MEASURING = "measuring"
-    ROLLING = "under way"
+    IN_PROGRESS = "under way"
     PAUSED = "paused"
     HALTED = "halted"
-    GOING_BACK = "going back"
+    ROLLING_BACK = "going back"
     DONE = "done"
-    WENT_BACK = "went back"
-    GAVE_UP = "gave up"
+    ROLLED_BACK = "went back"
+    ABANDONED = "gave up"
 
 
-ENDED = frozenset({State.DONE, State.WENT_BACK, State.HALTED, State.GAVE_UP})
-RUNNING = frozenset({State.MEASURING, State.ROLLING})
+END_STATES = frozenset({State.DONE, State.ROLLED_BACK, State.HALTED, State.ABANDONED})
+ACTIVE_STATES = frozenset({State.MEASURING, State.IN_PROGRESS})
 
 
 class Release(msgspec.Struct):
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 from flaxstep.rollout.actions import (
-    OUTWARD,
+    BEFORE_RESTART,
     Action,
     ActionResult,
     AvailableCommands,
@@ -20,7 +20,7 @@
 from flaxstep.rollout.limits import broken, meet, no_room, silent, unfit
 from flaxstep.rollout.member_steps import MemberSteps, NodeSteps, ServerSteps
 from flaxstep.rollout.plan import Plan
-from flaxstep.rollout.release import ENDED, RUNNING, Release, State, WaveMembers
+from flaxstep.rollout.release import ACTIVE_STATES, END_STATES, Release, State, WaveMembers
 from flaxstep.rollout.snapshot import Snapshot
 from flaxstep.rollout.wave_evaluation import WaveEvaluation
 
@@ -61,15 +61,15 @@
         if why := self.scales.look(view, passed, now):
             self.fall(why, now)
         acts = list(self.go_on(view, now))
-        if self.release.state in RUNNING:
+        if self.release.state in ACTIVE_STATES:
             self.hard_limits(now)
         if self.release.state is State.MEASURING:
             self.wait_for_answers()
-        elif self.release.state is State.ROLLING:
+        elif self.release.state is State.IN_PROGRESS:
             self.roll(view, now)
-        elif self.release.state is State.GOING_BACK:
+        elif self.release.state is State.ROLLING_BACK:
             self.go_back(view, now)
-        elif self.release.state in ENDED or self.release.state is State.PAUSED:
+        elif self.release.state in END_STATES or self.release.state is State.PAUSED:
             self.release.waiting = ""
         return acts
 
@@ -90,11 +90,11 @@
     def go_on(self, view: Snapshot, now: float) -> Iterator[Action]:
         """The next step of each member that is between two versions."""
         state = self.release.state
-        wanted = {State.ROLLING: self.plan.to, State.GOING_BACK: self.plan.from_}.get(state)
+        wanted = {State.IN_PROGRESS: self.plan.to, State.ROLLING_BACK: self.plan.from_}.get(state)
         for member in self.members.values():
             if member.open or member.phase in (Phase.SERVING, Phase.GONE):
                 continue
-            if member.phase in OUTWARD and member.target != wanted:
+            if member.phase in BEFORE_RESTART and member.target != wanted:
                 self.trip.undo(member, now, f"the release is {state.value}")
             act = self.trip.step(member, view, now)
             if act is not None:
@@ -120,7 +120,7 @@
         """A farm that hardly answers anything can't be judged by."""
         watch, release = self.plan.watch, self.release
         if release.measured > watch.before_s + watch.wait_s:
-            self.end(State.GAVE_UP, f"only {release.answers} answers to measure before the release")
+            self.end(State.ABANDONED, f"only {release.answers} answers to measure before the release")
 
     def roll(self, view: Snapshot, now: float) -> None:
         """Send the next members out, or watch the wave, or end."""
@@ -162,7 +162,7 @@
         # A bad version need not warm up first. Who is out costs no room; of the others the smallest first.
         may = {Phase.SERVING, Phase.WARMING}
         if self.plan.what == "servers":
-            may |= {Phase.DOWN, Phase.RETURNING}
+            may |= {Phase.DOWN, Phase.UNCORDONING}
         back = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
         back = [m for m in back if m.phase in may and not m.open and not self.stuck(m)]
         return sorted(back, key=lambda m: (not m.out, m.phase is Phase.SERVING, m.size, m.id))
@@ -178,7 +178,7 @@
             release.waits_since = now
         release.waiting = reason
         if reason and now - release.waits_since > self.plan.watch.wait_s:
-            self.end(State.GAVE_UP, f"waited {self.plan.watch.wait_s:g} s: {reason}")
+            self.end(State.ABANDONED, f"waited {self.plan.watch.wait_s:g} s: {reason}")
 
     # The way back, and the end.
 
@@ -190,17 +190,17 @@
             self.end(State.HALTED, why)
 
     def turn_back(self, why: str) -> None:
-        self.release.state, self.release.why, self.release.waiting = State.GOING_BACK, why, ""
+        self.release.state, self.release.why, self.release.waiting = State.ROLLING_BACK, why, ""
         for member in self.members.values():
             member.fault, member.tries = "", 0
 
     def go_back(self, view: Snapshot, now: float) -> None:
         for member in self.members.values():
-            if member.phase is Phase.PROVING and member.target == self.plan.to and not member.open:
+            if member.phase is Phase.VERIFYING and member.target == self.plan.to and not member.open:
                 member.go(Phase.DOWN, now, "the release goes back")  # no need to call it back first
         wanted = [m for m in self.members.values() if m.phase is not Phase.GONE and not self.stuck(m)]
         if all(m.version == self.plan.from_ and m.phase is Phase.SERVING for m in wanted):
-            self.end(State.WENT_BACK, self.release.why)
+            self.end(State.ROLLED_BACK, self.release.why)
             return
         self.wait(silent(view) or self.next_out(view, self.plan.from_, now), now)
 
@@ -211,16 +211,16 @@
     def order(self, order: str) -> str:
         """What staff want; why not, if it can't be."""
         state = self.release.state
-        if order == "pause" and state in RUNNING:
+        if order == "pause" and state in ACTIVE_STATES:
             self.release.state = State.PAUSED
-        elif order == "resume" and state in (State.PAUSED, State.HALTED, State.GAVE_UP):
+        elif order == "resume" and state in (State.PAUSED, State.HALTED, State.ABANDONED):
             if state is not State.PAUSED:  # staff have seen what spoke against it
                 self.scales.anew()
                 for member in self.members.values():
                     member.fault, member.crashes, member.tries = "", 0, 0
             measured = bool(self.release.pooled)
-            self.release.state, self.release.why = State.ROLLING if measured else State.MEASURING, ""
-        elif order == "back" and state not in (State.GOING_BACK, State.WENT_BACK):
+            self.release.state, self.release.why = State.IN_PROGRESS if measured else State.MEASURING, ""
+        elif order == "back" and state not in (State.ROLLING_BACK, State.ROLLED_BACK):
             self.turn_back("called back by staff")
         else:
             return f"the release is {state.value}"
@@ -232,6 +232,6 @@
         """Whether nothing is left to be done."""
         down = Phase.DOWN if self.plan.what == "servers" else Phase.SERVING
         rest = (Phase.SERVING, Phase.GONE, down)
-        return self.release.state in ENDED and all(
+        return self.release.state in END_STATES and all(
             m.phase in rest and not m.open for m in self.members.values()
         )
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -43,7 +43,7 @@
             if release.measured >= self.plan.watch.before_s and release.answers >= LEAST_BEFORE:
                 self.evidence.settle()
                 release.marks, release.pooled = self.evidence.marks, self.evidence.pooled
-                release.state = State.ROLLING
+                release.state = State.IN_PROGRESS
             return ""
         released = {m.id for m in self.line.all() if m.version == self.plan.to}
         cold = {m.id for m in self.line.all() if m.phase is not Phase.SERVING}
@@ -52,7 +52,7 @@
             seen = [line for line in seen if not line.released]  # what met the machine shall pass first
         opinion = self.judge.look(seen)
         release.stake, release.wanted = opinion.stake, opinion.wanted
-        why = self.heed(opinion, passed, now) if release.state is State.ROLLING else ""
+        why = self.heed(opinion, passed, now) if release.state is State.IN_PROGRESS else ""
         release.bets = self.judge.memory()
         return why
 
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -77,9 +77,9 @@
 
     def look(self) -> None:
         now = self.world.engine.now / 1000
-        rolling = self.release.state is State.ROLLING
+        rolling = self.release.state is State.IN_PROGRESS
         acts = self.course.tick(now, self.view(now))
-        if rolling and self.release.state is State.GOING_BACK:
+        if rolling and self.release.state is State.ROLLING_BACK:
             self.halted_with = sum(version == self.plan.to for version in self.runs.values())
         self.most_out = max(self.most_out, sum(member.out for member in self.standings.values()))
         if self.course.over:
@@ -138,7 +138,7 @@
                     engine.after(CALL_MS * self.chance(), call, server.id)
             why = f"{silent[0]}: connection refused" if silent else ""
             engine.after(CALL_MS, self.done, act, ActionResult(not silent, why))
-        elif act.do is ActionKind.RUN:
+        elif act.do is ActionKind.RESTART:
             down = 1000 * self.chance.between(0.5, 3.0)
             server.stop()
             server.state = Lifecycle.GONE
@@ -146,7 +146,9 @@
             engine.after(down, self.boot, act)
         else:
             up = server.up
-            said = self.runs[act.member] if act.do is ActionKind.ASK else "" if up else "connection refused"
+            said = (
+                self.runs[act.member] if act.do is ActionKind.VERSION else "" if up else "connection refused"
+            )
             engine.after(CALL_MS, self.done, act, ActionResult(up, said))
 
     def boot(self, act: Action) -> None:
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from flaxstep.rollout.actions import CHANGES, Action, ActionKind, ActionResult
+from flaxstep.rollout.actions import MUTATING_ACTIONS, Action, ActionKind, ActionResult
 from flaxstep.rollout.io.controller import LOST
 from flaxstep.rollout.io.store import Store
 from flaxstep.rollout.plan import Member, Plan, parse_plan
-from flaxstep.rollout.release import ENDED, Release, line_up
+from flaxstep.rollout.release import END_STATES, Release, line_up
 from flaxstep.rollout.snapshot import Answers, Listed, NodeView, Process, ServerCounters, Snapshot
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
@@ -148,7 +148,7 @@
         if act.member in self.cordons:
             return self.at_node(act)
         server = self.servers[act.member]
-        if act.do is ActionKind.RUN:
+        if act.do is ActionKind.RESTART:
             assert all(act.member in out for out in self.cordons.values()), "restarted while in use"
             server.restarts.append(act.version)
             if act.version in self.hanging:
@@ -165,16 +165,16 @@
 
     def at_node(self, act: Action) -> ActionResult:
         doors = self.doors[act.member]
-        if act.do is ActionKind.RUN and act.version not in self.hanging:
+        if act.do is ActionKind.RESTART and act.version not in self.hanging:
             assert act.door not in doors, "started twice"
             doors[act.door] = act.version
         elif act.do is ActionKind.STOP:
             doors.pop(act.door, None)
-        elif act.do is ActionKind.ASK:
+        elif act.do is ActionKind.VERSION:
             return ActionResult(act.door in doors, doors.get(act.door, "no answer"))
         elif act.do is ActionKind.CHECK:
             return ActionResult(act.version not in self.wrong, "41 is not 42")
-        hung = act.do is ActionKind.RUN and act.version in self.hanging
+        hung = act.do is ActionKind.RESTART and act.version in self.hanging
         return ActionResult(not hung, "start: not done after 5 s" if hung else "", known=not hung)
 
 
@@ -218,7 +218,7 @@
         self.farm.pass_second()
         try:
             acts = self.course.tick(self.farm.now, self.farm.look())
-            changing = any(act.do in CHANGES for act in acts)
+            changing = any(act.do in MUTATING_ACTIONS for act in acts)
             if changing:
                 self.point()
             ids = self.store.intend(self.number, self.release, self.members, acts)
@@ -246,4 +246,4 @@
 
     @property
     def ended(self) -> bool:
-        return self.release.state in ENDED and self.course.over
+        return self.release.state in END_STATES and self.course.over
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -93,9 +93,11 @@
     store = Store(folder / "kept" / "state")
     store.take_claim()
     members = {"s-1": MemberState("s-1", "a", 1.0, "v1"), "s-2": MemberState("s-2", "b", 1.0, "v1", wave=1)}
-    number = store.begin(plan(), Release(state=State.ROLLING, waiting="node n0 does not answer"), members)
-    [act] = store.intend(number, Release(state=State.ROLLING), members, [Action(ActionKind.CORDON, "s-1")])
-    store.record(number, Release(state=State.ROLLING), members, act, Came(False, "n0: no answer"))
+    number = store.begin(plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not answer"), members)
+    [act] = store.intend(
+        number, Release(state=State.IN_PROGRESS), members, [Action(ActionKind.CORDON, "s-1")]
+    )
+    store.record(number, Release(state=State.IN_PROGRESS), members, act, Came(False, "n0: no answer"))
     assert f"process {store.holder().split()[-1]}" in call(folder, "status").output
     store.leave_claim()
 
--- a/tests/test_release_course.py
+++ b/tests/test_release_course.py
@@ -58,7 +58,7 @@
         return  # what a node's own version does to its answers is the live test's
     run = Run(farm, plan(what, f'on_bad = "{on_bad}"'), tmp_path / "state")
     release = run.run()
-    assert release.state is (State.WENT_BACK if on_bad == "back" else State.HALTED), release
+    assert release.state is (State.ROLLED_BACK if on_bad == "back" else State.HALTED), release
     assert BAD[fault][0] in release.why and release.wave == 0
     assert sum(len(server.restarts) for server in farm.servers.values()) <= 2
     if on_bad == "back":
@@ -69,7 +69,7 @@
     farm = FakeFarm()
     farm.never_ready = {"v1", "v2"}
     run = Run(farm, plan(), tmp_path / "state")
-    assert run.run().state is State.WENT_BACK
+    assert run.run().state is State.ROLLED_BACK
     [down] = [m for m in run.members.values() if m.phase.value.startswith("not in service")]
     assert not farm.servers[down.id].up and "not ready" in down.note
     assert sum(not farm.used(name) for name in farm.servers) == 1
@@ -103,7 +103,7 @@
     farm.silent.clear()  # somebody repairs it in the end, or what is out there could never come back
     release = run.run()
     assert any(word in reason for reason in reasons), reasons
-    assert release.state is (State.DONE if heals else State.GAVE_UP)
+    assert release.state is (State.DONE if heals else State.ABANDONED)
     ours = {name for name in farm.servers if not farm.used(name)}
     assert ours <= ({"s-2"} if name == "another's cordon" else set())
 
@@ -145,7 +145,7 @@
     for _ in range(10):
         run.second()
     assert run.course.order("back") == ""
-    assert run.run().state is State.WENT_BACK and versions(farm, "servers") == {"v1"} and at_rest(farm)
+    assert run.run().state is State.ROLLED_BACK and versions(farm, "servers") == {"v1"} and at_rest(farm)
 
 
 @pytest.mark.parametrize("what", KINDS)
@@ -163,7 +163,7 @@
         run.kill_at = {at} if at else set()
         release = run.run()
         points = points or run.points
-        assert release.state is (State.WENT_BACK if bad else State.DONE), (at, release)
+        assert release.state is (State.ROLLED_BACK if bad else State.DONE), (at, release)
         assert versions(farm, what) == ({"v1"} if bad else {"v2"}) and at_rest(farm), at
         for server in farm.servers.values():  # what a command has done it is not asked for again
             assert server.restarts in ([], ["v2"], ["v2", "v1"]), (at, server.restarts)
@@ -181,7 +181,7 @@
         farm.silent = {"n1"} if chance.random() < 0.05 else set()
         run.second()
     assert run.ended and at_rest(farm) and farm.most_out <= 1
-    assert len(versions(farm, "servers")) == 1 or run.release.state is State.GAVE_UP
+    assert len(versions(farm, "servers")) == 1 or run.release.state is State.ABANDONED
 
 
 def test_one_controller_acts_and_one_that_lost_its_claim_writes_nothing(
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -80,5 +80,5 @@
 
 def test_with_nothing_to_compare_with_it_says_so() -> None:
     judge = CanaryAnalysis(0.01, 0.002)
-    assert judge.look([Seen("new", True, 900, 900, 900, usual=0.25)]).finding is Finding.UNFIT
-    assert judge.look([]).finding is Finding.UNFIT
+    assert judge.look([Seen("new", True, 900, 900, 900, usual=0.25)]).finding is Finding.INSUFFICIENT_DATA
+    assert judge.look([]).finding is Finding.INSUFFICIENT_DATA
--- a/tests/test_release_lab.py
+++ b/tests/test_release_lab.py
@@ -14,5 +14,5 @@
 
 def test_a_version_with_errors_is_brought_back_from_the_canary() -> None:
     bad = play(1, "2% errors")
-    assert bad.state is State.WENT_BACK and bad.halted_with == 1 and bad.released == 0
+    assert bad.state is State.ROLLED_BACK and bad.halted_with == 1 and bad.released == 0
     assert play(1, "2% errors") == bad  # one seed is one day, to the request
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -188,7 +188,7 @@
 
 
 async def kill_after_cordon(live: Live) -> None:
-    phases = (Phase.EMPTYING, Phase.RESTARTING, Phase.PROVING)
+    phases = (Phase.DRAINING, Phase.RESTARTING, Phase.VERIFYING)
     await live.stands(lambda kept: any(m.phase in phases for m in kept.members.values()))
     await live.kill_and_go_on()
 
@@ -215,7 +215,7 @@
 async def cut_zone_for_good(live: Live) -> None:
     await live.called("restart")
     spec = await live.fault("silent", "controller", "zone:1")
-    await live.stands(lambda kept: kept.release.state is State.GAVE_UP)
+    await live.stands(lambda kept: kept.release.state is State.ABANDONED)
     await live.stage.heal(1, spec)
 
 
@@ -327,7 +327,7 @@
 len_s = [8, 8]
 size = [2.4, 2.4]
 """
-BACK = State.WENT_BACK
+BACK = State.ROLLED_BACK
 CASES = {
     "staff": Case("v2", State.DONE, staff_at_work),
     "good": Case("v2", State.DONE, long=True),
@@ -338,13 +338,13 @@
     "never ready": Case("dead", BACK, why="not ready", limits=TIGHT, long=True),
     "wrong answers": Case("wrong", BACK, why="41 is not 42", long=True),
     "the command hangs": Case("hung", BACK, hang, "not done after", limits=TIGHT, long=True),
-    "going back hangs": Case("wrong", State.GAVE_UP, hang_on_the_way_back, wait=8, limits=TIGHT, long=True),
+    "going back hangs": Case("wrong", State.ABANDONED, hang_on_the_way_back, wait=8, limits=TIGHT, long=True),
     "killed after the cordon": Case("v2", State.DONE, kill_after_cordon, long=True),
     "killed in the command": Case("v2", State.DONE, kill_in_command),
     "node unreachable": Case("v2", State.DONE, unreachable_node),
     "zone cut off": Case("v2", State.DONE, cut_zone, long=True),
     "zone cut off for good": Case(
-        "v2", State.GAVE_UP, cut_zone_for_good, "does not answer", wait=4, long=True
+        "v2", State.ABANDONED, cut_zone_for_good, "does not answer", wait=4, long=True
     ),
     "burst": Case("v2", State.DONE, extra=BURST, wait=60, long=True),
     "server leaves": Case("v2", State.DONE, server_leaves, long=True),
@@ -388,9 +388,9 @@
     assert done.release.state is case.state and case.why in done.release.why, done.release
     assert done.code == (0 if case.state is State.DONE else 1)
     assert not done.play.result.breaches, done.play.result.distorted or "the machine was not too busy"
-    if case.state is not State.GAVE_UP:
+    if case.state is not State.ABANDONED:
         assert not [member for member in done.out if member != "s-0005"], done.members
-    if case.what == "servers" and case.state is not State.GAVE_UP:
+    if case.what == "servers" and case.state is not State.ABANDONED:
         served = case.to if case.state is State.DONE else "v1"
         assert set(done.versions[:5]) == {served}
         for number in range(5):  # what a command has done it is not asked for again
