--- a/flaxstep/rollout/actions.py
+++ b/flaxstep/rollout/actions.py
@@ -27,10 +27,10 @@
 class Action:
     """`version` for commands, `door` where a process of a node is meant."""
 
-    do: ActionKind
+    kind: ActionKind
     member: str
     version: str = ""
-    door: str = ""
+    admin_address: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
     ok: bool
     text: str = ""
-    known: bool = True
+    outcome_known: bool = True
 
 
 class Phase(Enum):
@@ -86,13 +86,13 @@
     fault: str = ""  # what speaks against the version that it was to get
     note: str = ""
 
-    def go(self, phase: Phase, now: float, note: str | None = None) -> None:
+    def enter_phase(self, phase: Phase, now: float, note: str | None = None) -> None:
         self.phase, self.since, self.proved, self.asked = phase, now, 0, -1e9
         if note is not None:
             self.note = note
 
     @property
-    def out(self) -> bool:
+    def out_of_service(self) -> bool:
         """Whether it does nothing for the farm just now."""
         return self.phase not in IN_SERVICE and self.phase is not Phase.GONE
 
@@ -101,12 +101,12 @@
 class StepTimes:
     """s, from the plan."""
 
-    command: float
-    ready: float
-    empty: float
-    warm: float
-    settle: float = 10.0  # for news of the list to reach everybody
-    again: float = 1.0  # between one question and the next
+    command_s: float
+    ready_s: float
+    drain_s: float
+    warm_s: float
+    list_update_s: float = 10.0  # for news of the list to reach everybody
+    poll_interval_s: float = 1.0  # between one question and the next
 
 
 @dataclass(slots=True)
@@ -115,4 +115,4 @@
 
     version: bool = False
     check: bool = False
-    doors: dict[str, tuple[str, ...]] = field(default_factory=dict)  # of nodes
+    admin_addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)  # of nodes
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -18,7 +18,7 @@
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
 ASKED_AT_ONCE = 8  # commands
-LOST = ActionResult(False, "its result was lost with the controller", known=False)
+LOST = ActionResult(False, "its result was lost with the controller", outcome_known=False)
 Tell = Callable[[str], None]
 
 
@@ -34,10 +34,10 @@
         self.told_phases = {member.id: member.phase for member in kept.members.values()}
 
     def pick_up(self) -> None:
-        """What a controller that was killed has left: every act without a result."""
+        """What a controller that was killed has left: every action without a result."""
         self.course.pick_up(self.kept.left.values(), clock())
-        for number, act in self.kept.left.items():
-            self.tell(f"{act.do.value} {act.member}: {LOST.text}")
+        for number, action in self.kept.left.items():
+            self.tell(f"{action.kind.value} {action.member}: {LOST.text}")
             self.store.record(self.kept.id, self.kept.release, self.kept.members, number, LOST)
         self.kept.left.clear()
 
@@ -49,11 +49,11 @@
         ended_at: float | None = None
         watch = self.kept.plan.watch
         try:
-            async with asyncio.TaskGroup() as acts:
+            async with asyncio.TaskGroup() as tasks:
                 self.take_orders()
                 while not self.course.over:
                     begun = time.monotonic()
-                    await self.look_once(acts)
+                    await self.look_once(tasks)
                     ended_at = (ended_at or begun) if self.kept.release.state in END_STATES else None
                     if ended_at is not None and begun - ended_at > watch.wait_s:
                         break
@@ -76,22 +76,26 @@
         self.hands.view = view
         if self.store.orders(self.kept.id):
             self.take_orders()
-        acts = self.course.tick(clock(), view)
-        ids = self.store.intend(self.kept.id, self.kept.release, self.kept.members, acts)
+        actions = self.course.tick(clock(), view)
+        ids = self.store.intend(self.kept.id, self.kept.release, self.kept.members, actions)
         self.report()
-        for number, act in zip(ids, acts, strict=True):
-            self.kept.members[act.member].open = number or -1  # reads have no line, and are out all the same
-            tasks.create_task(self.perform(number, act))
+        for number, action in zip(ids, actions, strict=True):
+            self.kept.members[action.member].open = (
+                number or -1
+            )  # reads have no line, and are out all the same
+            tasks.create_task(self.perform(number, action))
 
-    async def perform(self, number: int, act: Action) -> None:
+    async def perform(self, number: int, action: Action) -> None:
         if not self.store.holds():
             raise ClaimLost(f"{self.store.path}: another controller has taken this farm over")
-        result = await self.hands.do(act)
-        self.kept.members[act.member].open = 0
-        self.course.ended(act, result, clock())
+        result = await self.hands.do(action)
+        self.kept.members[action.member].open = 0
+        self.course.ended(action, result, clock())
         if number:
             word = "yes" if result.ok else "no"
-            self.tell(f"{act.do.value} {act.member}: {word}{f', {result.text}' if result.text else ''}")
+            self.tell(
+                f"{action.kind.value} {action.member}: {word}{f', {result.text}' if result.text else ''}"
+            )
         self.store.record(self.kept.id, self.kept.release, self.kept.members, number, result)
 
     def report(self) -> None:
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -24,21 +24,23 @@
         self.farm, self.plan = farm, plan
         self.view: Snapshot | None = None
 
-    async def do(self, act: Action) -> ActionResult:
-        """What an act comes to. Nothing that goes wrong outside is an exception here."""
-        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
-            return await self.everywhere(act.do.value, act.member)
-        if act.do is ActionKind.PING:
-            return await self.ping(act.member)
+    async def do(self, action: Action) -> ActionResult:
+        """What an action comes to. Nothing that goes wrong outside is an exception here."""
+        if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
+            return await self.everywhere(action.kind.value, action.member)
+        if action.kind is ActionKind.PING:
+            return await self.ping(action.member)
         commands = self.plan.commands
         words = {
             ActionKind.RESTART: commands.restart,
             ActionKind.STOP: commands.stop,
             ActionKind.VERSION: commands.version,
             ActionKind.CHECK: commands.check,
-        }[act.do]
+        }[action.kind]
         assert words is not None, "the plan has the commands that its steps ask for"
-        return await run(command(words, act.member, act.version, act.door), commands.time_limit_s)
+        return await run(
+            command(words, action.member, action.version, action.admin_address), commands.time_limit_s
+        )
 
     async def everywhere(self, what: str, server: str) -> ActionResult:
         """A call for a job server at every node: yes if all say yes."""
@@ -86,7 +88,7 @@
             out, errors = await process.communicate()
     except TimeoutError:
         await kill(process)
-        return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", known=False)
+        return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", outcome_known=False)
     except BaseException:  # the controller ends: so does what it runs
         await kill(process)
         raise
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -185,21 +185,28 @@
                 self.db.execute("INSERT OR REPLACE INTO members VALUES (?, ?, ?)", line)
 
     def intend(
-        self, number: int, release: Release, members: Mapping[str, MemberState], acts: Sequence[Action]
+        self, number: int, release: Release, members: Mapping[str, MemberState], actions: Sequence[Action]
     ) -> list[int]:
         """State and intents in one; the acts' ids, 0 for those that change nothing."""
         ids: list[int] = []
         with self.transaction():
-            for act in acts:
-                if act.do not in MUTATING_ACTIONS:
+            for action in actions:
+                if action.kind not in MUTATING_ACTIONS:
                     ids.append(0)
                     continue
                 done = self.db.execute(
                     "INSERT INTO acts (release, at, act, member, version, door) VALUES (?, ?, ?, ?, ?, ?)",
-                    (number, time.time(), act.do.value, act.member, act.version, act.door),
+                    (
+                        number,
+                        time.time(),
+                        action.kind.value,
+                        action.member,
+                        action.version,
+                        action.admin_address,
+                    ),
                 )
                 ids.append(int(done.lastrowid or 0))
-                members[act.member].open = ids[-1]
+                members[action.member].open = ids[-1]
             self.save(number, release, members)
         return ids
 
@@ -215,15 +222,15 @@
         number: int,
         release: Release,
         members: Mapping[str, MemberState],
-        act: int,
+        action: int,
         result: ActionResult,
     ) -> None:
         """What an act came to, and the state that follows from it."""
         with self.transaction():
-            if act:
+            if action:
                 self.db.execute(
                     "UPDATE acts SET ended = ?, ok = ?, said = ? WHERE id = ?",
-                    (time.time(), result.ok, result.text, act),
+                    (time.time(), result.ok, result.text, action),
                 )
             self.save(number, release, members)
 
@@ -258,8 +265,10 @@
             for member in members:
                 member.since, member.asked = clock(), -1e9
             release.waits_since = clock()
-        acts = {at: Action(ActionKind(act), member, version, door) for at, act, member, version, door in left}
-        return Kept(number, kept_plan, release, {m.id: m for m in members}, acts, began, ended)
+        actions = {
+            at: Action(ActionKind(act), member, version, door) for at, act, member, version, door in left
+        }
+        return Kept(number, kept_plan, release, {m.id: m for m in members}, actions, began, ended)
 
     def history(self, number: int) -> list[Line]:
         rows = self.db.execute(
--- a/flaxstep/rollout/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -84,10 +84,10 @@
 
     On the way back one may always go: what it runs is worse than the room it takes.
     """
-    if member.out:
+    if member.out_of_service:
         return ""
     others = [m for m in members if m.phase is not Phase.GONE]
-    away = sum(m.out for m in others)
+    away = sum(m.out_of_service for m in others)
     if away >= plan.room.out_at_once:
         return f"{away} are out already"
     if plan.what == "nodes" or (back and not away):
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -29,45 +29,47 @@
     def begin(self, member: MemberState, target: str, now: float) -> None: ...
     def undo(self, member: MemberState, now: float, note: str) -> None: ...
     def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None: ...
-    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None: ...
-    def recover(self, member: MemberState, act: Action, now: float) -> None: ...
+    def ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None: ...
+    def recover(self, member: MemberState, action: Action, now: float) -> None: ...
 
 
 class Steps:
     """What both kinds share: the command, finding out what it did, and the proof."""
 
-    def __init__(self, times: StepTimes, asks: AvailableCommands) -> None:
-        self.times, self.asks = times, asks
+    def __init__(self, times: StepTimes, available: AvailableCommands) -> None:
+        self.times, self.available = times, available
 
-    def paced(self, member: MemberState, act: Action, now: float) -> Action | None:
-        """The act, unless something was asked about the member a moment ago."""
-        if now - member.asked < self.times.again:
+    def paced(self, member: MemberState, action: Action, now: float) -> Action | None:
+        """The action, unless something was asked about the member a moment ago."""
+        if now - member.asked < self.times.poll_interval_s:
             return None
         member.asked = now
-        return act
+        return action
 
     def restart(self, member: MemberState, now: float, door: str = "") -> Action:
         member.lost, member.before = False, member.started
-        member.go(Phase.RESTARTING, now)
+        member.enter_phase(Phase.RESTARTING, now)
         return Action(ActionKind.RESTART, member.id, member.target, door)
 
-    def recover(self, member: MemberState, act: Action, now: float) -> None:
-        """An act whose result nobody has. All but the command are simply made again."""
-        if act.do is ActionKind.RESTART:
+    def recover(self, member: MemberState, action: Action, now: float) -> None:
+        """An action whose result nobody has. All but the command are simply made again."""
+        if action.kind is ActionKind.RESTART:
             member.lost = True
-            member.go(Phase.RESOLVING_RESTART, now, "its command's result was lost with the controller")
+            member.enter_phase(
+                Phase.RESOLVING_RESTART, now, "its command's result was lost with the controller"
+            )
 
     def warming(self, member: MemberState, now: float) -> None:
-        if now - member.since >= self.times.warm:
+        if now - member.since >= self.times.warm_s:
             if member.note == "":
                 member.tries = 0
             member.target = ""
-            member.go(Phase.SERVING, now)
+            member.enter_phase(Phase.SERVING, now)
 
     def fail(self, member: MemberState, now: float, fault: str) -> None:
         """It is not fit to serve as what it should be."""
         member.fault = fault
-        member.go(Phase.DOWN, now, fault)
+        member.enter_phase(Phase.DOWN, now, fault)
 
 
 class ServerSteps(Steps):
@@ -78,14 +80,14 @@
         member.target = target
         member.tries += 1
         if member.phase is Phase.DOWN:
-            member.go(Phase.RESTART_PENDING, now, "")
+            member.enter_phase(Phase.RESTART_PENDING, now, "")
         else:
-            member.go(Phase.CORDONING, now, "")
+            member.enter_phase(Phase.CORDONING, now, "")
 
     def undo(self, member: MemberState, now: float, note: str) -> None:
         """Before the command: back to service as it was."""
         member.target = member.version
-        member.go(Phase.UNCORDONING, now, note)
+        member.enter_phase(Phase.UNCORDONING, now, note)
 
     def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase = member.phase
@@ -109,18 +111,18 @@
         """Nothing in flight, as every node said after the cordon: now the command."""
         out = view.out(member.id) if view.at > member.since else None
         if out is not None and not view.taken_out(member.id):
-            member.go(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
+            member.enter_phase(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
             return Action(ActionKind.CORDON, member.id)
         if out == 0:
             return self.restart(member, now)
-        if now - member.since > self.times.empty:
+        if now - member.since > self.times.drain_s:
             left = "not every node answers" if out is None else f"{out} requests are in flight there"
-            self.undo(member, now, f"not empty after {self.times.empty:g} s: {left}")
+            self.undo(member, now, f"not empty after {self.times.drain_s:g} s: {left}")
         return None
 
     def again(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """Out already, and not fit to come back: taken out once more, as a node may have forgotten."""
-        if now - member.since > self.times.empty:
+        if now - member.since > self.times.drain_s:
             self.fail(member, now, f"could not be restarted: {member.note or 'requests are in flight there'}")
             return None
         if member.proved == 0:
@@ -129,18 +131,18 @@
 
     def find(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """What its command did: the version that runs says it, or a start that the list tells of."""
-        if self.asks.version:
-            act = self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
+        if self.available.version:
+            action = self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
         else:
-            act = None
+            action = None
             line = (view.listed or {}).get(member.id)
             if line is not None and line.started != member.before:
-                member.go(Phase.VERIFYING, now)
-        limit = self.times.command + self.times.settle
+                member.enter_phase(Phase.VERIFYING, now)
+        limit = self.times.command_s + self.times.list_update_s
         if member.phase is Phase.RESOLVING_RESTART and now - member.since > limit:
             self.without_trace(member, now)
             return None
-        return act
+        return action
 
     def without_trace(self, member: MemberState, now: float) -> None:
         """The command did nothing: it goes back as it was, to be tried again where only the result was
@@ -148,63 +150,65 @@
         if not member.lost or member.tries >= MOST_TRIES:
             member.fault = member.note or "its command did nothing"
         member.target, member.before = member.version, -1  # the list owes no news of a start
-        member.go(Phase.VERIFYING, now)
+        member.enter_phase(Phase.VERIFYING, now)
 
     def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """It answers, runs what it should, answers rightly, and is listed: in that order."""
-        if now - member.since > self.times.ready:
-            self.fail(member, now, f"not ready {self.times.ready:g} s after its restart: {member.note}")
+        if now - member.since > self.times.ready_s:
+            self.fail(member, now, f"not ready {self.times.ready_s:g} s after its restart: {member.note}")
             return None
         if member.proved == 0:
             return self.paced(member, Action(ActionKind.PING, member.id), now)
-        if member.proved == 1 and self.asks.version:
+        if member.proved == 1 and self.available.version:
             return self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
-        if member.proved <= 2 and self.asks.check:
+        if member.proved <= 2 and self.available.check:
             return self.paced(member, Action(ActionKind.CHECK, member.id, member.target), now)
         line = (view.listed or {}).get(member.id)
-        fresh = line is not None and (line.started != member.before or now - member.since > self.times.settle)
+        fresh = line is not None and (
+            line.started != member.before or now - member.since > self.times.list_update_s
+        )
         if line is None or line.lifecycle != "active" or not fresh:
             member.note = "the list does not have it yet"
             return None
         member.version, member.started = member.target, line.started
         member.untold = line.started == member.before
-        member.go(Phase.UNCORDONING, now, "")
+        member.enter_phase(Phase.UNCORDONING, now, "")
         return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
 
-    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
-        if act.do is ActionKind.CORDON and member.phase is Phase.RESTART_PENDING:
+    def ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+        if action.kind is ActionKind.CORDON and member.phase is Phase.RESTART_PENDING:
             member.proved, member.note = int(result.ok), result.text
-        elif act.do is ActionKind.CORDON:
+        elif action.kind is ActionKind.CORDON:
             if result.ok:
-                member.go(Phase.DRAINING, now)
+                member.enter_phase(Phase.DRAINING, now)
             else:
                 self.undo(member, now, f"not taken out: {result.text}")
-        elif act.do is ActionKind.UNCORDON:
+        elif action.kind is ActionKind.UNCORDON:
             if result.ok:
-                member.go(Phase.WARMING, now)
+                member.enter_phase(Phase.WARMING, now)
             else:
                 member.note = f"not called back yet: {result.text}"
-        elif act.do is ActionKind.RESTART:
-            member.go(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
+        elif action.kind is ActionKind.RESTART:
+            member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
         elif member.phase is Phase.RESOLVING_RESTART:
             if result.ok and result.text == member.target:
-                member.go(Phase.VERIFYING, now, "")
+                member.enter_phase(Phase.VERIFYING, now, "")
         elif member.phase is Phase.VERIFYING:
-            self.proved(member, act, result, now)
+            self.proved(member, action, result, now)
 
-    def proved(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
+    def proved(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
         member.note = "" if result.ok else result.text
-        if act.do is ActionKind.PING and result.ok:
+        if action.kind is ActionKind.PING and result.ok:
             member.proved = 1
-        elif act.do is ActionKind.VERSION and result.ok:
+        elif action.kind is ActionKind.VERSION and result.ok:
             if result.text == member.target:
                 member.proved = 2
             else:
                 member.note = f"it runs {result.text}, not {member.target}"
-        elif act.do is ActionKind.CHECK:
+        elif action.kind is ActionKind.CHECK:
             if result.ok:
                 member.proved = 3
-            elif result.known:
+            elif result.outcome_known:
                 member.version = member.target
                 self.fail(member, now, f"it answers wrongly: {result.text}")
 
@@ -215,21 +219,23 @@
     def begin(self, member: MemberState, target: str, now: float) -> None:
         member.target = target
         member.tries += 1
-        member.go(Phase.DRAINING, now, "")
+        member.enter_phase(Phase.DRAINING, now, "")
 
     def undo(self, member: MemberState, now: float, note: str) -> None:
         member.target = ""
-        member.go(Phase.SERVING, now, note)
+        member.enter_phase(Phase.SERVING, now, note)
 
     def doors(self, member: MemberState) -> tuple[str, str]:
         """Where the process that serves has its door, and where a successor gets it."""
-        doors = self.asks.doors[member.id]
+        doors = self.available.admin_addresses[member.id]
         return doors[member.door], doors[(member.door + 1) % len(doors)]
 
     def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase, node = member.phase, view.nodes[member.id]
         if phase is Phase.DRAINING and node.processes and node.at(self.doors(member)[0]) is None:
-            member.door = self.asks.doors[member.id].index(node.processes[0].door)  # restarted by others
+            member.door = self.available.admin_addresses[member.id].index(
+                node.processes[0].door
+            )  # restarted by others
         before, after = self.doors(member)
         if phase is Phase.DRAINING:
             if node.at(after) is not None:
@@ -238,8 +244,8 @@
             return self.restart(member, now, after)
         if phase is Phase.RESOLVING_RESTART:
             if node.at(after) is not None:
-                member.go(Phase.VERIFYING, now)
-            elif now - member.since > self.times.command + self.times.settle:
+                member.enter_phase(Phase.VERIFYING, now)
+            elif now - member.since > self.times.command_s + self.times.list_update_s:
                 if not member.lost or member.tries >= MOST_TRIES:
                     member.fault = member.note or "its command started nothing"
                 self.undo(member, now, member.note)
@@ -259,16 +265,16 @@
     def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         _, after = self.doors(member)
         process = view.nodes[member.id].at(after)
-        if now - member.since > self.times.ready:
+        if now - member.since > self.times.ready_s:
             said = process.health if process else "no answer at its door"
-            fault = f"not ready {self.times.ready:g} s after its start: {member.note or said}"
+            fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or said}"
             self.fail(member, now, fault)
         elif process is not None and process.ready:
-            if member.proved == 0 and self.asks.version:
+            if member.proved == 0 and self.available.version:
                 return self.paced(member, Action(ActionKind.VERSION, member.id, member.target, after), now)
-            if member.proved <= 1 and self.asks.check:
+            if member.proved <= 1 and self.available.check:
                 return self.paced(member, Action(ActionKind.CHECK, member.id, member.target, after), now)
-            member.go(Phase.STOPPING_PREDECESSOR, now, "")
+            member.enter_phase(Phase.STOPPING_PREDECESSOR, now, "")
         return None
 
     def leave(self, member: MemberState, view: Snapshot, now: float) -> None:
@@ -276,32 +282,32 @@
         before, after = self.doors(member)
         node = view.nodes[member.id]
         if view.at > member.since and node.at(before) is None and node.at(after) is not None:
-            member.door = self.asks.doors[member.id].index(after)
+            member.door = self.available.admin_addresses[member.id].index(after)
             member.version = member.target
-            member.go(Phase.WARMING, now, "")
-        elif now - member.since > self.times.ready:
+            member.enter_phase(Phase.WARMING, now, "")
+        elif now - member.since > self.times.ready_s:
             member.fault = "two processes of it run on, though the first was told to end"
-            member.go(Phase.STOPPING_PREDECESSOR, now, member.fault)
+            member.enter_phase(Phase.STOPPING_PREDECESSOR, now, member.fault)
 
-    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
-        if act.do is ActionKind.RESTART:
-            member.go(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
-        elif act.do is ActionKind.STOP and member.phase is Phase.STOPPING_PREDECESSOR:
+    def ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+        if action.kind is ActionKind.RESTART:
+            member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
+        elif action.kind is ActionKind.STOP and member.phase is Phase.STOPPING_PREDECESSOR:
             member.note = "" if result.ok else f"not told to end: {result.text}"
             if result.ok:
-                member.go(Phase.AWAITING_PREDECESSOR_EXIT, now)
-            elif now - member.since > self.times.ready:  # the new one serves; it must not be ended now
+                member.enter_phase(Phase.AWAITING_PREDECESSOR_EXIT, now)
+            elif now - member.since > self.times.ready_s:  # the new one serves; it must not be ended now
                 member.fault = member.note
-        elif act.do is ActionKind.STOP and member.phase is Phase.DOWN:
+        elif action.kind is ActionKind.STOP and member.phase is Phase.DOWN:
             if result.ok:
                 self.undo(member, now, member.note)
-        elif act.do is ActionKind.VERSION:
+        elif action.kind is ActionKind.VERSION:
             if result.ok and result.text == member.target:
                 member.proved = 1
             else:
                 member.note = f"it says {result.text}, not {member.target}"
-        elif act.do is ActionKind.CHECK:
+        elif action.kind is ActionKind.CHECK:
             if result.ok:
                 member.proved = 2
-            elif result.known:
+            elif result.outcome_known:
                 self.fail(member, now, f"it answers wrongly: {result.text}")
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -1,6 +1,6 @@
 """The whole release: which member goes next, when to wait, when it is bad, and the way back. Pure.
 
-`tick` is told the time and a look at the farm and returns acts; `ended` takes what an act came to. Nothing is
+`tick` is told the time and a look at the farm and returns acts; `ended` takes what an action came to. Nothing is
 remembered that a look can show, so a release goes on after its controller was killed at any point.
 """
 
@@ -41,11 +41,15 @@
         self.plan, self.release, self.members = plan, release, members
         watch, commands = plan.watch, plan.commands
         times = StepTimes(
-            commands.time_limit_s, commands.ready_s, watch.empty_s, watch.warm_s, again=0.9 * watch.look_s
+            commands.time_limit_s,
+            commands.ready_s,
+            watch.empty_s,
+            watch.warm_s,
+            poll_interval_s=0.9 * watch.look_s,
         )
-        asks = AvailableCommands(commands.version is not None, commands.check is not None, dict(doors))
+        available = AvailableCommands(commands.version is not None, commands.check is not None, dict(doors))
         self.trip: MemberSteps = (
-            ServerSteps(times, asks) if plan.what == "servers" else NodeSteps(times, asks)
+            ServerSteps(times, available) if plan.what == "servers" else NodeSteps(times, available)
         )
         self.line = WaveMembers(plan, release, members)
         self.scales = WaveEvaluation(self.line)
@@ -60,7 +64,7 @@
             meet(self.members, view.listed, self.plan.from_)
         if why := self.scales.look(view, passed, now):
             self.fall(why, now)
-        acts = list(self.go_on(view, now))
+        actions = list(self.go_on(view, now))
         if self.release.state in ACTIVE_STATES:
             self.hard_limits(now)
         if self.release.state is State.MEASURING:
@@ -71,7 +75,7 @@
             self.go_back(view, now)
         elif self.release.state in END_STATES or self.release.state is State.PAUSED:
             self.release.waiting = ""
-        return acts
+        return actions
 
     def hard_limits(self, now: float) -> None:
         """What needs no comparison."""
@@ -96,13 +100,13 @@
                 continue
             if member.phase in BEFORE_RESTART and member.target != wanted:
                 self.trip.undo(member, now, f"the release is {state.value}")
-            act = self.trip.step(member, view, now)
-            if act is not None:
-                yield act
+            action = self.trip.step(member, view, now)
+            if action is not None:
+                yield action
 
-    def ended(self, act: Action, result: ActionResult, now: float) -> None:
-        """What an act came to."""
-        self.trip.ended(self.members[act.member], act, result, now)
+    def ended(self, action: Action, result: ActionResult, now: float) -> None:
+        """What an action came to."""
+        self.trip.ended(self.members[action.member], action, result, now)
 
     def pick_up(self, left: Iterable[Action], now: float) -> None:
         """Go on where a controller that was killed has stopped. `left`: its acts that have no result."""
@@ -111,8 +115,8 @@
             member.open, member.asked = 0, -1e9
             if member.phase not in (Phase.SERVING, Phase.GONE, Phase.WARMING, Phase.DOWN):
                 member.since = now  # its time runs anew: nobody looked meanwhile
-        for act in left:
-            self.trip.recover(self.members[act.member], act, now)
+        for action in left:
+            self.trip.recover(self.members[action.member], action, now)
 
     # Forward.
 
@@ -165,7 +169,7 @@
             may |= {Phase.DOWN, Phase.UNCORDONING}
         back = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
         back = [m for m in back if m.phase in may and not m.open and not self.stuck(m)]
-        return sorted(back, key=lambda m: (not m.out, m.phase is Phase.SERVING, m.size, m.id))
+        return sorted(back, key=lambda m: (not m.out_of_service, m.phase is Phase.SERVING, m.size, m.id))
 
     def stuck(self, member: MemberState) -> bool:
         """It could not be brought back to the version before either."""
@@ -197,7 +201,7 @@
     def go_back(self, view: Snapshot, now: float) -> None:
         for member in self.members.values():
             if member.phase is Phase.VERIFYING and member.target == self.plan.to and not member.open:
-                member.go(Phase.DOWN, now, "the release goes back")  # no need to call it back first
+                member.enter_phase(Phase.DOWN, now, "the release goes back")  # no need to call it back first
         wanted = [m for m in self.members.values() if m.phase is not Phase.GONE and not self.stuck(m)]
         if all(m.version == self.plan.from_ and m.phase is Phase.SERVING for m in wanted):
             self.end(State.ROLLED_BACK, self.release.why)
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -78,17 +78,17 @@
     def look(self) -> None:
         now = self.world.engine.now / 1000
         rolling = self.release.state is State.IN_PROGRESS
-        acts = self.course.tick(now, self.view(now))
+        actions = self.course.tick(now, self.view(now))
         if rolling and self.release.state is State.ROLLING_BACK:
             self.halted_with = sum(version == self.plan.to for version in self.runs.values())
-        self.most_out = max(self.most_out, sum(member.out for member in self.standings.values()))
+        self.most_out = max(self.most_out, sum(member.out_of_service for member in self.standings.values()))
         if self.course.over:
             self.ended_at = now
             self.at_over()
             return
-        for act in acts:
-            self.standings[act.member].open = -1
-            self.perform(act)
+        for action in actions:
+            self.standings[action.member].open = -1
+            self.perform(action)
         self.world.engine.after(1000 * self.plan.watch.look_s, self.look)
 
     def view(self, now: float) -> Snapshot:
@@ -128,39 +128,43 @@
 
     # Acts.
 
-    def perform(self, act: Action) -> None:
-        engine, server = self.world.engine, self.servers[act.member]
-        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
+    def perform(self, action: Action) -> None:
+        engine, server = self.world.engine, self.servers[action.member]
+        if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
             silent = [node for node, group in enumerate(self.world.processes) if not group]
             for group in self.world.processes:
                 for process in group:
-                    call = process.cordon if act.do is ActionKind.CORDON else process.uncordon
+                    call = process.cordon if action.kind is ActionKind.CORDON else process.uncordon
                     engine.after(CALL_MS * self.chance(), call, server.id)
             why = f"{silent[0]}: connection refused" if silent else ""
-            engine.after(CALL_MS, self.done, act, ActionResult(not silent, why))
-        elif act.do is ActionKind.RESTART:
+            engine.after(CALL_MS, self.done, action, ActionResult(not silent, why))
+        elif action.kind is ActionKind.RESTART:
             down = 1000 * self.chance.between(0.5, 3.0)
             server.stop()
             server.state = Lifecycle.GONE
             self.world.discovery.hear(server, Lifecycle.GONE, 500.0)
-            engine.after(down, self.boot, act)
+            engine.after(down, self.boot, action)
         else:
             up = server.up
             said = (
-                self.runs[act.member] if act.do is ActionKind.VERSION else "" if up else "connection refused"
+                self.runs[action.member]
+                if action.kind is ActionKind.VERSION
+                else ""
+                if up
+                else "connection refused"
             )
-            engine.after(CALL_MS, self.done, act, ActionResult(up, said))
+            engine.after(CALL_MS, self.done, action, ActionResult(up, said))
 
-    def boot(self, act: Action) -> None:
+    def boot(self, action: Action) -> None:
         """The new process: what its version differs in it has from its start, or some time after."""
-        server, whole = self.servers[act.member], self.whole[act.member]
-        self.runs[act.member] = act.version
+        server, whole = self.servers[action.member], self.whole[action.member]
+        self.runs[action.member] = action.version
         server.plan, server.capacity = whole, whole.cores * whole.speed
         server.boot()
         self.world.discovery.hear(server, Lifecycle.READY, 1000 * self.world.plan.figures["discovery.add_s"])
-        if act.version == self.plan.to:
-            self.world.engine.after(1000 * self.to.after_s, self.differ, act.member, server.started)
-        self.done(act, ActionResult(True))
+        if action.version == self.plan.to:
+            self.world.engine.after(1000 * self.to.after_s, self.differ, action.member, server.started)
+        self.done(action, ActionResult(True))
 
     def differ(self, name: str, started: float) -> None:
         server, to = self.servers[name], self.to
@@ -175,6 +179,6 @@
         server.plan, server.capacity = plan, plan.cores * plan.speed
         server.changed()
 
-    def done(self, act: Action, result: ActionResult) -> None:
-        self.standings[act.member].open = 0
-        self.course.ended(act, result, self.world.engine.now / 1000)
+    def done(self, action: Action, result: ActionResult) -> None:
+        self.standings[action.member].open = 0
+        self.course.ended(action, result, self.world.engine.now / 1000)
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -135,47 +135,47 @@
 
     # What acts do.
 
-    def do(self, act: Action) -> ActionResult:
+    def do(self, action: Action) -> ActionResult:
         self.done += 1
-        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
+        if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
             silent = sorted(self.silent)
             for node in set(self.cordons) - self.silent:
-                if act.do is ActionKind.CORDON:
-                    self.cordons[node].add(act.member)
+                if action.kind is ActionKind.CORDON:
+                    self.cordons[node].add(action.member)
                 else:
-                    self.cordons[node].discard(act.member)
+                    self.cordons[node].discard(action.member)
             return ActionResult(not silent, f"{silent[0]}: no answer" if silent else "")
-        if act.member in self.cordons:
-            return self.at_node(act)
-        server = self.servers[act.member]
-        if act.do is ActionKind.RESTART:
-            assert all(act.member in out for out in self.cordons.values()), "restarted while in use"
-            server.restarts.append(act.version)
-            if act.version in self.hanging:
-                return ActionResult(False, "restart: not done after 5 s", known=False)
-            server.version, server.started = act.version, int(1000 * (2 + self.now))
-            server.up = act.version not in self.never_ready
+        if action.member in self.cordons:
+            return self.at_node(action)
+        server = self.servers[action.member]
+        if action.kind is ActionKind.RESTART:
+            assert all(action.member in out for out in self.cordons.values()), "restarted while in use"
+            server.restarts.append(action.version)
+            if action.version in self.hanging:
+                return ActionResult(False, "restart: not done after 5 s", outcome_known=False)
+            server.version, server.started = action.version, int(1000 * (2 + self.now))
+            server.up = action.version not in self.never_ready
             for node in self.cordons:
-                self.counts.pop((node, act.member), None)
-        if act.do is ActionKind.PING:
+                self.counts.pop((node, action.member), None)
+        if action.kind is ActionKind.PING:
             return ActionResult(server.up, "" if server.up else "connection refused")
-        if act.do is ActionKind.CHECK:
+        if action.kind is ActionKind.CHECK:
             return ActionResult(server.version not in self.wrong, "41 is not 42")
         return ActionResult(True, server.version)
 
-    def at_node(self, act: Action) -> ActionResult:
-        doors = self.doors[act.member]
-        if act.do is ActionKind.RESTART and act.version not in self.hanging:
-            assert act.door not in doors, "started twice"
-            doors[act.door] = act.version
-        elif act.do is ActionKind.STOP:
-            doors.pop(act.door, None)
-        elif act.do is ActionKind.VERSION:
-            return ActionResult(act.door in doors, doors.get(act.door, "no answer"))
-        elif act.do is ActionKind.CHECK:
-            return ActionResult(act.version not in self.wrong, "41 is not 42")
-        hung = act.do is ActionKind.RESTART and act.version in self.hanging
-        return ActionResult(not hung, "start: not done after 5 s" if hung else "", known=not hung)
+    def at_node(self, action: Action) -> ActionResult:
+        doors = self.doors[action.member]
+        if action.kind is ActionKind.RESTART and action.version not in self.hanging:
+            assert action.admin_address not in doors, "started twice"
+            doors[action.admin_address] = action.version
+        elif action.kind is ActionKind.STOP:
+            doors.pop(action.admin_address, None)
+        elif action.kind is ActionKind.VERSION:
+            return ActionResult(action.admin_address in doors, doors.get(action.admin_address, "no answer"))
+        elif action.kind is ActionKind.CHECK:
+            return ActionResult(action.version not in self.wrong, "41 is not 42")
+        hung = action.kind is ActionKind.RESTART and action.version in self.hanging
+        return ActionResult(not hung, "start: not done after 5 s" if hung else "", outcome_known=not hung)
 
 
 class Killed(Exception):
@@ -217,19 +217,19 @@
         """One look and what follows from it; a controller that is killed starts again."""
         self.farm.pass_second()
         try:
-            acts = self.course.tick(self.farm.now, self.farm.look())
-            changing = any(act.do in MUTATING_ACTIONS for act in acts)
+            actions = self.course.tick(self.farm.now, self.farm.look())
+            changing = any(action.kind in MUTATING_ACTIONS for action in actions)
             if changing:
                 self.point()
-            ids = self.store.intend(self.number, self.release, self.members, acts)
-            for number, act in zip(ids, acts, strict=True):
+            ids = self.store.intend(self.number, self.release, self.members, actions)
+            for number, action in zip(ids, actions, strict=True):
                 if number:
                     self.point()
-                result = self.farm.do(act)
+                result = self.farm.do(action)
                 if number:
                     self.point()
-                self.members[act.member].open = 0
-                self.course.ended(act, result, self.farm.now)
+                self.members[action.member].open = 0
+                self.course.ended(action, result, self.farm.now)
                 self.store.record(self.number, self.release, self.members, number, result)
         except Killed:
             self.store.leave_claim()  # as if its lease had run out
