--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -90,7 +90,7 @@
             raise ClaimLost(f"{self.store.path}: another controller has taken this farm over")
         result = await self.hands.do(action)
         self.kept.members[action.member].open = 0
-        self.course.ended(action, result, clock())
+        self.course.on_action_ended(action, result, clock())
         if number:
             word = "yes" if result.ok else "no"
             self.tell(
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -20,38 +20,40 @@
 )
 from flaxstep.rollout.snapshot import Snapshot
 
-MOST_TRIES = 3  # commands for one member and direction that left no trace
+MAX_RESTART_TRIES = 3  # commands for one member and direction that left no trace
 
 
 class MemberSteps(Protocol):
     """How members of a kind are released."""
 
-    def begin(self, member: MemberState, target: str, now: float) -> None: ...
-    def undo(self, member: MemberState, now: float, note: str) -> None: ...
-    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None: ...
-    def ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None: ...
-    def recover(self, member: MemberState, action: Action, now: float) -> None: ...
+    def begin_update(self, member: MemberState, target: str, now: float) -> None: ...
+    def cancel_update(self, member: MemberState, now: float, note: str) -> None: ...
+    def next_action(self, member: MemberState, view: Snapshot, now: float) -> Action | None: ...
+    def on_action_ended(
+        self, member: MemberState, action: Action, result: ActionResult, now: float
+    ) -> None: ...
+    def on_result_lost(self, member: MemberState, action: Action, now: float) -> None: ...
 
 
-class Steps:
+class CommonSteps:
     """What both kinds share: the command, finding out what it did, and the proof."""
 
     def __init__(self, times: StepTimes, available: AvailableCommands) -> None:
         self.times, self.available = times, available
 
-    def paced(self, member: MemberState, action: Action, now: float) -> Action | None:
+    def rate_limited(self, member: MemberState, action: Action, now: float) -> Action | None:
         """The action, unless something was asked about the member a moment ago."""
         if now - member.asked < self.times.poll_interval_s:
             return None
         member.asked = now
         return action
 
-    def restart(self, member: MemberState, now: float, door: str = "") -> Action:
+    def begin_restart(self, member: MemberState, now: float, door: str = "") -> Action:
         member.lost, member.before = False, member.started
         member.enter_phase(Phase.RESTARTING, now)
         return Action(ActionKind.RESTART, member.id, member.target, door)
 
-    def recover(self, member: MemberState, action: Action, now: float) -> None:
+    def on_result_lost(self, member: MemberState, action: Action, now: float) -> None:
         """An action whose result nobody has. All but the command are simply made again."""
         if action.kind is ActionKind.RESTART:
             member.lost = True
@@ -59,23 +61,23 @@
                 Phase.RESOLVING_RESTART, now, "its command's result was lost with the controller"
             )
 
-    def warming(self, member: MemberState, now: float) -> None:
+    def wait_until_warm(self, member: MemberState, now: float) -> None:
         if now - member.since >= self.times.warm_s:
             if member.note == "":
                 member.tries = 0
             member.target = ""
             member.enter_phase(Phase.SERVING, now)
 
-    def fail(self, member: MemberState, now: float, fault: str) -> None:
+    def mark_failed(self, member: MemberState, now: float, fault: str) -> None:
         """It is not fit to serve as what it should be."""
         member.fault = fault
         member.enter_phase(Phase.DOWN, now, fault)
 
 
-class ServerSteps(Steps):
+class ServerSteps(CommonSteps):
     """A job server's."""
 
-    def begin(self, member: MemberState, target: str, now: float) -> None:
+    def begin_update(self, member: MemberState, target: str, now: float) -> None:
         """Outward, or straight to the command where it is out already."""
         member.target = target
         member.tries += 1
@@ -84,55 +86,57 @@
         else:
             member.enter_phase(Phase.CORDONING, now, "")
 
-    def undo(self, member: MemberState, now: float, note: str) -> None:
+    def cancel_update(self, member: MemberState, now: float, note: str) -> None:
         """Before the command: back to service as it was."""
         member.target = member.version
         member.enter_phase(Phase.UNCORDONING, now, note)
 
-    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def next_action(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase = member.phase
         if phase is Phase.CORDONING:
             return Action(ActionKind.CORDON, member.id)
         if phase is Phase.DRAINING:
-            return self.empty(member, view, now)
+            return self.wait_until_drained(member, view, now)
         if phase is Phase.RESTART_PENDING:
-            return self.again(member, view, now)
+            return self.restart_again(member, view, now)
         if phase is Phase.RESOLVING_RESTART:
-            return self.find(member, view, now)
+            return self.resolve_restart(member, view, now)
         if phase is Phase.VERIFYING:
-            return self.prove(member, view, now)
+            return self.verify(member, view, now)
         if phase is Phase.UNCORDONING:
-            return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
+            return self.rate_limited(member, Action(ActionKind.UNCORDON, member.id), now)
         if phase is Phase.WARMING:
-            self.warming(member, now)
+            self.wait_until_warm(member, now)
         return None
 
-    def empty(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def wait_until_drained(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """Nothing in flight, as every node said after the cordon: now the command."""
         out = view.out(member.id) if view.at > member.since else None
         if out is not None and not view.taken_out(member.id):
             member.enter_phase(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
             return Action(ActionKind.CORDON, member.id)
         if out == 0:
-            return self.restart(member, now)
+            return self.begin_restart(member, now)
         if now - member.since > self.times.drain_s:
             left = "not every node answers" if out is None else f"{out} requests are in flight there"
-            self.undo(member, now, f"not empty after {self.times.drain_s:g} s: {left}")
+            self.cancel_update(member, now, f"not empty after {self.times.drain_s:g} s: {left}")
         return None
 
-    def again(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def restart_again(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """Out already, and not fit to come back: taken out once more, as a node may have forgotten."""
         if now - member.since > self.times.drain_s:
-            self.fail(member, now, f"could not be restarted: {member.note or 'requests are in flight there'}")
+            self.mark_failed(
+                member, now, f"could not be restarted: {member.note or 'requests are in flight there'}"
+            )
             return None
         if member.proved == 0:
-            return self.paced(member, Action(ActionKind.CORDON, member.id), now)
-        return self.restart(member, now) if view.out(member.id) == 0 else None
+            return self.rate_limited(member, Action(ActionKind.CORDON, member.id), now)
+        return self.begin_restart(member, now) if view.out(member.id) == 0 else None
 
-    def find(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def resolve_restart(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """What its command did: the version that runs says it, or a start that the list tells of."""
         if self.available.version:
-            action = self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
+            action = self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
         else:
             action = None
             line = (view.listed or {}).get(member.id)
@@ -140,29 +144,31 @@
                 member.enter_phase(Phase.VERIFYING, now)
         limit = self.times.command_s + self.times.list_update_s
         if member.phase is Phase.RESOLVING_RESTART and now - member.since > limit:
-            self.without_trace(member, now)
+            self.on_restart_without_effect(member, now)
             return None
         return action
 
-    def without_trace(self, member: MemberState, now: float) -> None:
+    def on_restart_without_effect(self, member: MemberState, now: float) -> None:
         """The command did nothing: it goes back as it was, to be tried again where only the result was
         lost."""
-        if not member.lost or member.tries >= MOST_TRIES:
+        if not member.lost or member.tries >= MAX_RESTART_TRIES:
             member.fault = member.note or "its command did nothing"
         member.target, member.before = member.version, -1  # the list owes no news of a start
         member.enter_phase(Phase.VERIFYING, now)
 
-    def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def verify(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         """It answers, runs what it should, answers rightly, and is listed: in that order."""
         if now - member.since > self.times.ready_s:
-            self.fail(member, now, f"not ready {self.times.ready_s:g} s after its restart: {member.note}")
+            self.mark_failed(
+                member, now, f"not ready {self.times.ready_s:g} s after its restart: {member.note}"
+            )
             return None
         if member.proved == 0:
-            return self.paced(member, Action(ActionKind.PING, member.id), now)
+            return self.rate_limited(member, Action(ActionKind.PING, member.id), now)
         if member.proved == 1 and self.available.version:
-            return self.paced(member, Action(ActionKind.VERSION, member.id, member.target), now)
+            return self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
         if member.proved <= 2 and self.available.check:
-            return self.paced(member, Action(ActionKind.CHECK, member.id, member.target), now)
+            return self.rate_limited(member, Action(ActionKind.CHECK, member.id, member.target), now)
         line = (view.listed or {}).get(member.id)
         fresh = line is not None and (
             line.started != member.before or now - member.since > self.times.list_update_s
@@ -173,16 +179,16 @@
         member.version, member.started = member.target, line.started
         member.untold = line.started == member.before
         member.enter_phase(Phase.UNCORDONING, now, "")
-        return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
+        return self.rate_limited(member, Action(ActionKind.UNCORDON, member.id), now)
 
-    def ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+    def on_action_ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
         if action.kind is ActionKind.CORDON and member.phase is Phase.RESTART_PENDING:
             member.proved, member.note = int(result.ok), result.text
         elif action.kind is ActionKind.CORDON:
             if result.ok:
                 member.enter_phase(Phase.DRAINING, now)
             else:
-                self.undo(member, now, f"not taken out: {result.text}")
+                self.cancel_update(member, now, f"not taken out: {result.text}")
         elif action.kind is ActionKind.UNCORDON:
             if result.ok:
                 member.enter_phase(Phase.WARMING, now)
@@ -194,9 +200,11 @@
             if result.ok and result.text == member.target:
                 member.enter_phase(Phase.VERIFYING, now, "")
         elif member.phase is Phase.VERIFYING:
-            self.proved(member, action, result, now)
+            self.on_verification_result(member, action, result, now)
 
-    def proved(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+    def on_verification_result(
+        self, member: MemberState, action: Action, result: ActionResult, now: float
+    ) -> None:
         member.note = "" if result.ok else result.text
         if action.kind is ActionKind.PING and result.ok:
             member.proved = 1
@@ -210,86 +218,96 @@
                 member.proved = 3
             elif result.outcome_known:
                 member.version = member.target
-                self.fail(member, now, f"it answers wrongly: {result.text}")
+                self.mark_failed(member, now, f"it answers wrongly: {result.text}")
 
 
-class NodeSteps(Steps):
+class NodeSteps(CommonSteps):
     """A node's: nothing is out at any time, if all goes well."""
 
-    def begin(self, member: MemberState, target: str, now: float) -> None:
+    def begin_update(self, member: MemberState, target: str, now: float) -> None:
         member.target = target
         member.tries += 1
         member.enter_phase(Phase.DRAINING, now, "")
 
-    def undo(self, member: MemberState, now: float, note: str) -> None:
+    def cancel_update(self, member: MemberState, now: float, note: str) -> None:
         member.target = ""
         member.enter_phase(Phase.SERVING, now, note)
 
-    def doors(self, member: MemberState) -> tuple[str, str]:
+    def current_and_successor_address(self, member: MemberState) -> tuple[str, str]:
         """Where the process that serves has its door, and where a successor gets it."""
-        doors = self.available.admin_addresses[member.id]
-        return doors[member.door], doors[(member.door + 1) % len(doors)]
+        addresses = self.available.admin_addresses[member.id]
+        return addresses[member.door], addresses[(member.door + 1) % len(addresses)]
 
-    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def next_action(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
         phase, node = member.phase, view.nodes[member.id]
-        if phase is Phase.DRAINING and node.processes and node.at(self.doors(member)[0]) is None:
+        if (
+            phase is Phase.DRAINING
+            and node.processes
+            and node.at(self.current_and_successor_address(member)[0]) is None
+        ):
             member.door = self.available.admin_addresses[member.id].index(
                 node.processes[0].door
             )  # restarted by others
-        before, after = self.doors(member)
+        current, successor = self.current_and_successor_address(member)
         if phase is Phase.DRAINING:
-            if node.at(after) is not None:
-                self.undo(member, now, f"somebody's process has its door at {after} already")
+            if node.at(successor) is not None:
+                self.cancel_update(member, now, f"somebody's process has its door at {successor} already")
                 return None
-            return self.restart(member, now, after)
+            return self.begin_restart(member, now, successor)
         if phase is Phase.RESOLVING_RESTART:
-            if node.at(after) is not None:
+            if node.at(successor) is not None:
                 member.enter_phase(Phase.VERIFYING, now)
             elif now - member.since > self.times.command_s + self.times.list_update_s:
-                if not member.lost or member.tries >= MOST_TRIES:
+                if not member.lost or member.tries >= MAX_RESTART_TRIES:
                     member.fault = member.note or "its command started nothing"
-                self.undo(member, now, member.note)
+                self.cancel_update(member, now, member.note)
             return None
         if phase is Phase.VERIFYING:
-            return self.prove(member, view, now)
+            return self.verify(member, view, now)
         if phase is Phase.STOPPING_PREDECESSOR:
-            return self.paced(member, Action(ActionKind.STOP, member.id, member.version, before), now)
+            return self.rate_limited(member, Action(ActionKind.STOP, member.id, member.version, current), now)
         if phase is Phase.AWAITING_PREDECESSOR_EXIT:
-            self.leave(member, view, now)
+            self.wait_for_predecessor_exit(member, view, now)
         if phase is Phase.DOWN:  # its second process never said yes: it ends, the first serves on
-            return self.paced(member, Action(ActionKind.STOP, member.id, member.target, after), now)
+            return self.rate_limited(
+                member, Action(ActionKind.STOP, member.id, member.target, successor), now
+            )
         if phase is Phase.WARMING:
-            self.warming(member, now)
+            self.wait_until_warm(member, now)
         return None
 
-    def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        _, after = self.doors(member)
-        process = view.nodes[member.id].at(after)
+    def verify(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+        _, successor = self.current_and_successor_address(member)
+        process = view.nodes[member.id].at(successor)
         if now - member.since > self.times.ready_s:
             said = process.health if process else "no answer at its door"
             fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or said}"
-            self.fail(member, now, fault)
+            self.mark_failed(member, now, fault)
         elif process is not None and process.ready:
             if member.proved == 0 and self.available.version:
-                return self.paced(member, Action(ActionKind.VERSION, member.id, member.target, after), now)
+                return self.rate_limited(
+                    member, Action(ActionKind.VERSION, member.id, member.target, successor), now
+                )
             if member.proved <= 1 and self.available.check:
-                return self.paced(member, Action(ActionKind.CHECK, member.id, member.target, after), now)
+                return self.rate_limited(
+                    member, Action(ActionKind.CHECK, member.id, member.target, successor), now
+                )
             member.enter_phase(Phase.STOPPING_PREDECESSOR, now, "")
         return None
 
-    def leave(self, member: MemberState, view: Snapshot, now: float) -> None:
+    def wait_for_predecessor_exit(self, member: MemberState, view: Snapshot, now: float) -> None:
         """The process before is gone from its door, and the new one serves."""
-        before, after = self.doors(member)
+        current, successor = self.current_and_successor_address(member)
         node = view.nodes[member.id]
-        if view.at > member.since and node.at(before) is None and node.at(after) is not None:
-            member.door = self.available.admin_addresses[member.id].index(after)
+        if view.at > member.since and node.at(current) is None and node.at(successor) is not None:
+            member.door = self.available.admin_addresses[member.id].index(successor)
             member.version = member.target
             member.enter_phase(Phase.WARMING, now, "")
         elif now - member.since > self.times.ready_s:
             member.fault = "two processes of it run on, though the first was told to end"
             member.enter_phase(Phase.STOPPING_PREDECESSOR, now, member.fault)
 
-    def ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+    def on_action_ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
         if action.kind is ActionKind.RESTART:
             member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
         elif action.kind is ActionKind.STOP and member.phase is Phase.STOPPING_PREDECESSOR:
@@ -300,7 +318,7 @@
                 member.fault = member.note
         elif action.kind is ActionKind.STOP and member.phase is Phase.DOWN:
             if result.ok:
-                self.undo(member, now, member.note)
+                self.cancel_update(member, now, member.note)
         elif action.kind is ActionKind.VERSION:
             if result.ok and result.text == member.target:
                 member.proved = 1
@@ -310,4 +328,4 @@
             if result.ok:
                 member.proved = 2
             elif result.outcome_known:
-                self.fail(member, now, f"it answers wrongly: {result.text}")
+                self.mark_failed(member, now, f"it answers wrongly: {result.text}")
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -48,7 +48,7 @@
             poll_interval_s=0.9 * watch.look_s,
         )
         available = AvailableCommands(commands.version is not None, commands.check is not None, dict(doors))
-        self.trip: MemberSteps = (
+        self.member_steps: MemberSteps = (
             ServerSteps(times, available) if plan.what == "servers" else NodeSteps(times, available)
         )
         self.line = WaveMembers(plan, release, members)
@@ -99,14 +99,14 @@
             if member.open or member.phase in (Phase.SERVING, Phase.GONE):
                 continue
             if member.phase in BEFORE_RESTART and member.target != wanted:
-                self.trip.undo(member, now, f"the release is {state.value}")
-            action = self.trip.step(member, view, now)
+                self.member_steps.cancel_update(member, now, f"the release is {state.value}")
+            action = self.member_steps.next_action(member, view, now)
             if action is not None:
                 yield action
 
-    def ended(self, action: Action, result: ActionResult, now: float) -> None:
+    def on_action_ended(self, action: Action, result: ActionResult, now: float) -> None:
         """What an action came to."""
-        self.trip.ended(self.members[action.member], action, result, now)
+        self.member_steps.on_action_ended(self.members[action.member], action, result, now)
 
     def pick_up(self, left: Iterable[Action], now: float) -> None:
         """Go on where a controller that was killed has stopped. `left`: its acts that have no result."""
@@ -116,7 +116,7 @@
             if member.phase not in (Phase.SERVING, Phase.GONE, Phase.WARMING, Phase.DOWN):
                 member.since = now  # its time runs anew: nobody looked meanwhile
         for action in left:
-            self.trip.recover(self.members[action.member], action, now)
+            self.member_steps.on_result_lost(self.members[action.member], action, now)
 
     # Forward.
 
@@ -154,7 +154,7 @@
             elif member.phase is Phase.SERVING and view.cordoned(member.id):
                 reason = f"{member.id} is out by somebody else's hand"
             else:
-                self.trip.begin(member, version, now)
+                self.member_steps.begin_update(member, version, now)
         at_rest = (Phase.SERVING, Phase.DOWN, Phase.GONE)
         return reason if all(m.phase in at_rest for m in self.members.values()) else ""
 
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -181,4 +181,4 @@
 
     def done(self, action: Action, result: ActionResult) -> None:
         self.standings[action.member].open = 0
-        self.course.ended(action, result, self.world.engine.now / 1000)
+        self.course.on_action_ended(action, result, self.world.engine.now / 1000)
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -229,7 +229,7 @@
                 if number:
                     self.point()
                 self.members[action.member].open = 0
-                self.course.ended(action, result, self.farm.now)
+                self.course.on_action_ended(action, result, self.farm.now)
                 self.store.record(self.number, self.release, self.members, number, result)
         except Killed:
             self.store.leave_claim()  # as if its lease had run out
