--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -94,9 +94,9 @@
 
 async def survey(farm: Farm, plan: Plan) -> Survey:
     members = await members_of(farm, plan)
-    view = await collect_snapshot(farm, clock())
+    snapshot = await collect_snapshot(farm, clock())
     whole = sum(member.size for member in members)
-    lines, reasons = [], [reason] if (reason := unfit(view, plan, None)) else []
+    lines, reasons = [], [reason] if (reason := unfit(snapshot, plan, None)) else []
     for number, wave in enumerate(waves(plan, members), 1):
         count = at_once(plan, wave, members) if plan.what == "servers" else plan.room.out_at_once
         largest = sorted((member.size for member in wave.members), reverse=True)[: max(count, 1)]
@@ -106,7 +106,7 @@
         least = plan.watch.bake_s + -(-len(wave.members) // max(count, 1)) * plan.watch.warm_s
         lines.append(WaveLine(wave.zone, [m.id for m in wave.members], count, round(left, 4), least))
     if plan.what == "servers":
-        taken = [member.id for member in members if view.cordoned(member.id)]
+        taken = [member.id for member in members if snapshot.cordoned_anywhere(member.id)]
         reasons += [f"{name} is out by somebody's hand" for name in taken]
     return Survey(plan.name, plan.what, plan.to, lines, reasons)
 
--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -15,13 +15,13 @@
 import msgspec
 
 from flaxstep.rollout.canary_analysis import Seen
-from flaxstep.rollout.snapshot import Answers, Bins, Snapshot
+from flaxstep.rollout.snapshot import LatencyHistogram, ResponseCounters, Snapshot
 
 ABOVE = 0.25  # the part of a member's answers that shall lie above its mark
 LEAST = 30  # answers below which a member's own mark says little: then all members' mark is taken
 LOOK_BACK = 10.0  # s over which the farm's served worth is taken
 LEAST_ASKED = 20.0  # requests in that time below which it says nothing
-NOTHING = Answers()
+NOTHING = ResponseCounters()
 
 
 def edge(bucket: int) -> float:
@@ -30,7 +30,7 @@
 
 
 class Mark(msgspec.Struct, frozen=True):
-    """Answers beyond bucket `last` are slow; `usual` is their share before the release."""
+    """ResponseCounters beyond bucket `last` are slow; `usual` is their share before the release."""
 
     last: int
     usual: float
@@ -42,7 +42,7 @@
 
     good: int = 0
     bad: int = 0
-    took: dict[str, Bins] = field(default_factory=dict)  # by class
+    took: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class
 
 
 class Evidence:
@@ -50,24 +50,24 @@
 
     def __init__(self, kind: str, slower: float, worths: dict[str, float]) -> None:
         self.kind, self.slower, self.worths = kind, slower, worths
-        self.before: dict[str, dict[str, Bins]] = {}  # by member and class, while it is measured
+        self.before: dict[str, dict[str, LatencyHistogram]] = {}  # by member and class, while it is measured
         self.marks: dict[str, dict[str, Mark]] = {}
         self.pooled: dict[str, Mark] = {}
-        self.last: dict[tuple[str, str, str], tuple[int, Answers]] = {}  # by door, server and class
+        self.last: dict[tuple[str, str, str], tuple[int, ResponseCounters]] = {}  # by door, server and class
         self.last_results: dict[tuple[str, str], tuple[int, int, int]] = {}  # by door and class
         self.asked: deque[tuple[float, float, float]] = deque()  # when, worth asked for, worth served
         self.rest: dict[tuple[str, str], float] = {}  # parts of an answer not counted yet
 
-    def take(self, view: Snapshot) -> dict[str, Counts]:
+    def take(self, snapshot: Snapshot) -> dict[str, Counts]:
         """What came since the last look, by member. A door seen for the first time tells nothing yet."""
         found: dict[str, Counts] = {}
         asked = served = 0.0
         last, self.last = self.last, {}
         last_results, self.last_results = self.last_results, {}
-        for node in view.nodes.values():
+        for node in snapshot.nodes.values():
             for process in node.processes:
                 for cls, now in process.results.items():
-                    key = process.door, cls
+                    key = process.admin_address, cls
                     self.last_results[key] = now
                     fresh = since(last_results.get(key), now)
                     worth = self.worths.get(cls, 1.0)
@@ -79,26 +79,33 @@
                     member = node.name if self.kind == "nodes" else server
                     counts = found.setdefault(member, Counts())
                     for cls, told in held.classes.items():
-                        self.last[process.door, server, cls] = held.started, told
-                        self.add(counts, cls, last.get((process.door, server, cls)), held.started, told)
-        self.asked.append((view.at, asked, served))
-        while self.asked[0][0] < view.at - LOOK_BACK:
+                        self.last[process.admin_address, server, cls] = held.started_ms, told
+                        self.add(
+                            counts, cls, last.get((process.admin_address, server, cls)), held.started_ms, told
+                        )
+        self.asked.append((snapshot.taken_at_s, asked, served))
+        while self.asked[0][0] < snapshot.taken_at_s - LOOK_BACK:
             self.asked.popleft()
         return found
 
     def add(
-        self, counts: Counts, cls: str, last: tuple[int, Answers] | None, started: int, told: Answers
+        self,
+        counts: Counts,
+        cls: str,
+        last: tuple[int, ResponseCounters] | None,
+        started: int,
+        told: ResponseCounters,
     ) -> None:
         """What a door tells more of a server and class than at the last look."""
         if last is None:
             return
         before = last[1] if last[0] == started and told.ok >= last[1].ok else NOTHING
         bins = counts.took.setdefault(cls, Counter())
-        bins.update(told.took)
-        bins.subtract(before.took)
+        bins.update(told.latencies)
+        bins.subtract(before.latencies)
         if self.kind == "servers":
             counts.good += told.ok - before.ok
-            counts.bad += max(0, told.failed + told.unstarted - before.failed - before.unstarted)
+            counts.bad += max(0, told.failed + told.not_started - before.failed - before.not_started)
 
     def served(self) -> float | None:
         """The part of the worth asked for lately that was served; None where too little was asked."""
@@ -117,7 +124,7 @@
 
     def settle(self) -> None:
         """The marks, from what was measured."""
-        whole: dict[str, Bins] = {}
+        whole: dict[str, LatencyHistogram] = {}
         for mine in self.before.values():
             for cls, bins in mine.items():
                 whole.setdefault(cls, Counter()).update(bins)
@@ -150,8 +157,8 @@
                 member in cold or not timed,
             )  # fmt: skip
 
-    def slow(self, member: str, cls: str, bins: Bins, last: int, released: bool) -> int:
-        """Answers above the mark. Within the bucket that a raised mark parts, they count by its part."""
+    def slow(self, member: str, cls: str, bins: LatencyHistogram, last: int, released: bool) -> int:
+        """ResponseCounters above the mark. Within the bucket that a raised mark parts, they count by its part."""
         if not released:
             return sum(count for bucket, count in bins.items() if bucket > last)
         raised = edge(last) * self.slower
@@ -181,7 +188,7 @@
     return now[0] - last[0], now[1] - last[1], now[2] - last[2]
 
 
-def mark(bins: Bins) -> Mark:
+def mark(bins: LatencyHistogram) -> Mark:
     """The bucket beyond which the part of the answers is nearest to what is wanted."""
     total, above = bins.total(), 0
     best = Mark(max(bins, default=0), 0.0)
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -72,11 +72,11 @@
             self.store.save(self.kept.id, self.kept.release, self.kept.members)
 
     async def look_once(self, tasks: asyncio.TaskGroup) -> None:
-        view = await collect_snapshot(self.farm, clock())
-        self.hands.view = view
+        snapshot = await collect_snapshot(self.farm, clock())
+        self.hands.snapshot = snapshot
         if self.store.orders(self.kept.id):
             self.take_orders()
-        actions = self.course.tick(clock(), view)
+        actions = self.course.tick(clock(), snapshot)
         ids = self.store.intend(self.kept.id, self.kept.release, self.kept.members, actions)
         self.report()
         for number, action in zip(ids, actions, strict=True):
@@ -151,7 +151,7 @@
         return
     hands, room = Executor(farm, plan), asyncio.Semaphore(ASKED_AT_ONCE)
     nodes = (await collect_snapshot(farm, clock())).nodes if plan.what == "nodes" else {}
-    doors = {name: node.processes[0].door for name, node in nodes.items() if node.processes}
+    doors = {name: node.processes[0].admin_address for name, node in nodes.items() if node.processes}
 
     async def ask(member: MemberState) -> str:
         async with room:
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -18,11 +18,11 @@
 
 
 class Executor:
-    """`view` is the newest look: where servers listen, and which doors answer."""
+    """`snapshot` is the newest look: where servers listen, and which doors answer."""
 
     def __init__(self, farm: Farm, plan: Plan) -> None:
         self.farm, self.plan = farm, plan
-        self.view: Snapshot | None = None
+        self.snapshot: Snapshot | None = None
 
     async def do(self, action: Action) -> ActionResult:
         """What an action comes to. Nothing that goes wrong outside is an exception here."""
@@ -62,7 +62,7 @@
         return why
 
     async def ping(self, server: str) -> ActionResult:
-        line = (self.view.listed or {}).get(server) if self.view is not None else None
+        line = (self.snapshot.listed or {}).get(server) if self.snapshot is not None else None
         if line is None:
             return ActionResult(False, "not in the list")
         status, answer = await text(line.address, "GET", "/ping")
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -9,7 +9,14 @@
 
 from flaxstep.rollout.farm import Farm, NodeLine
 from flaxstep.rollout.io.http_client import CallError, call, text
-from flaxstep.rollout.snapshot import Answers, Listed, NodeView, Process, ServerCounters, Snapshot
+from flaxstep.rollout.snapshot import (
+    ListedServer,
+    NodeView,
+    ProcessView,
+    ResponseCounters,
+    ServerCounters,
+    Snapshot,
+)
 
 MEMBERS = "/catalog/members"
 LIST_TIME = 2.0  # s
@@ -26,12 +33,12 @@
 
 async def look_at_node(node: NodeLine) -> NodeView:
     found = await asyncio.gather(*(look_at_door(door) for door in node.doors))
-    processes = tuple(process for process in found if isinstance(process, Process))
+    processes = tuple(process for process in found if isinstance(process, ProcessView))
     silent = [why for why in found if isinstance(why, str)]
     return NodeView(node.name, processes, "" if processes else silent[0])
 
 
-async def look_at_door(door: str) -> Process | str:
+async def look_at_door(door: str) -> ProcessView | str:
     """The process behind a door, or why there is no answer."""
     status, health = await text(door, "GET", "/admin/health")
     if not status:
@@ -47,7 +54,7 @@
         # A node of the version before has no such call, or does not tell who is out by hand.
         tells = said == 200 and all("cordoned" in line for line in lines.values())
         word = "ready" if status == 200 else health
-        return Process(door, word, held, read_results(stats), tells)
+        return ProcessView(door, word, held, read_results(stats), tells)
     except CallError as error:
         return str(error)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
@@ -56,7 +63,9 @@
 
 def read_held(line: dict[str, Any]) -> ServerCounters:
     classes = {
-        cls: Answers(told["ok"], told["failed"], told["unstarted"], Counter(dict(map(tuple, told["took"]))))
+        cls: ResponseCounters(
+            told["ok"], told["failed"], told["unstarted"], Counter(dict(map(tuple, told["took"])))
+        )
         for cls, told in line["classes"].items()
     }
     return ServerCounters(line["out"], line.get("cordoned", False), line["started"], classes)
@@ -73,7 +82,7 @@
     return {cls: (told[OUTCOMES[0]], told[OUTCOMES[1]], told[OUTCOMES[2]]) for cls, told in found.items()}
 
 
-async def look_at_list(address: str) -> dict[str, Listed] | None:
+async def look_at_list(address: str) -> dict[str, ListedServer] | None:
     """The whole list; None if it did not come."""
     try:
         status, body = await call(address, "GET", MEMBERS, seconds=LIST_TIME)
@@ -85,8 +94,8 @@
     return {line.id: line for line in lines}
 
 
-def read_line(line: dict[str, Any]) -> Listed:
-    return Listed(
+def read_line(line: dict[str, Any]) -> ListedServer:
+    return ListedServer(
         str(line["instanceId"]),
         str(line["hostPort"]),
         str(line["zone"]),
--- a/flaxstep/rollout/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -6,7 +6,7 @@
 
 from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.plan import Plan
-from flaxstep.rollout.snapshot import Listed, Snapshot
+from flaxstep.rollout.snapshot import ListedServer, Snapshot
 
 MOST_CRASHES = 2  # of released members, and more than of the others
 NOT_EXPECTED_TO_SERVE = frozenset(
@@ -14,7 +14,7 @@
 )  # listed or not, nobody expects it to serve
 
 
-def meet(members: dict[str, MemberState], listed: Mapping[str, Listed], version: str) -> None:
+def meet(members: dict[str, MemberState], listed: Mapping[str, ListedServer], version: str) -> None:
     """Take up who has left the list, come to it, or started anew without being told to.
 
     Who comes is taken for one of the version before, and goes with the last wave, as nobody planned it.
@@ -27,11 +27,11 @@
             if member.phase is Phase.SERVING or replaced:
                 member.phase, member.note = Phase.GONE, "no longer listed"
         elif member.phase in (Phase.SERVING, Phase.WARMING):
-            if member.started and line.started != member.started and not member.untold:
+            if member.started and line.started_ms != member.started and not member.untold:
                 member.crashes += 1
                 member.note = "its process started anew by itself"
-            member.untold = member.untold and line.started == member.started
-            member.started = line.started
+            member.untold = member.untold and line.started_ms == member.started
+            member.started = line.started_ms
         elif member.phase is Phase.GONE:
             member.phase, member.note = Phase.SERVING, "listed again"
             member.crashes += 1
@@ -39,7 +39,7 @@
     for line in come:
         note = "came during the release"
         members[line.id] = MemberState(
-            line.id, line.zone, line.size, version, wave=last, started=line.started, note=note
+            line.id, line.zone, line.size, version, wave=last, started=line.started_ms, note=note
         )
 
 
@@ -57,20 +57,20 @@
     return ""
 
 
-def silent(view: Snapshot) -> str:
+def silent(snapshot: Snapshot) -> str:
     """Which node does not answer, if one doesn't."""
-    found = [node for node in view.nodes.values() if not node.processes]
-    return f"node {found[0].name} does not answer: {found[0].why}" if found else ""
+    found = [node for node in snapshot.nodes.values() if not node.processes]
+    return f"node {found[0].name} does not answer: {found[0].error}" if found else ""
 
 
-def unfit(view: Snapshot, plan: Plan, served: float | None) -> str:
+def unfit(snapshot: Snapshot, plan: Plan, served: float | None) -> str:
     """Why the farm is in no state for anything new to go out; nothing if it is."""
-    if why := silent(view):
+    if why := silent(snapshot):
         return why
-    drained = [node.name for node in view.nodes.values() if not node.ready]
+    drained = [node.name for node in snapshot.nodes.values() if not node.ready]
     if drained:
         return f"node {drained[0]} does not serve"
-    if view.listed is None:
+    if snapshot.listed is None:
         return "the list service does not answer"
     if served is not None and served < plan.room.worth:
         return f"{served:.2f} of the worth asked for is served, {plan.room.worth:g} is wanted"
@@ -78,7 +78,7 @@
 
 
 def no_room(
-    member: MemberState, members: Iterable[MemberState], plan: Plan, view: Snapshot, back: bool
+    member: MemberState, members: Iterable[MemberState], plan: Plan, snapshot: Snapshot, back: bool
 ) -> str:
     """Why a member can't go out now; nothing if it can. Who is out already costs no room.
 
@@ -93,7 +93,9 @@
     if plan.what == "nodes" or (back and not away):
         return ""  # a node's second process serves before the first ends
     missing = sum(
-        m.size for m in others if m is not member and (m.phase is not Phase.SERVING or view.cordoned(m.id))
+        m.size
+        for m in others
+        if m is not member and (m.phase is not Phase.SERVING or snapshot.cordoned_anywhere(m.id))
     )
     whole = sum(m.size for m in others)
     stays = whole - missing - member.size
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -28,7 +28,7 @@
 
     def begin_update(self, member: MemberState, target: str, now: float) -> None: ...
     def cancel_update(self, member: MemberState, now: float, note: str) -> None: ...
-    def next_action(self, member: MemberState, view: Snapshot, now: float) -> Action | None: ...
+    def next_action(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None: ...
     def on_action_ended(
         self, member: MemberState, action: Action, result: ActionResult, now: float
     ) -> None: ...
@@ -91,28 +91,28 @@
         member.target = member.version
         member.enter_phase(Phase.UNCORDONING, now, note)
 
-    def next_action(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def next_action(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         phase = member.phase
         if phase is Phase.CORDONING:
             return Action(ActionKind.CORDON, member.id)
         if phase is Phase.DRAINING:
-            return self.wait_until_drained(member, view, now)
+            return self.wait_until_drained(member, snapshot, now)
         if phase is Phase.RESTART_PENDING:
-            return self.restart_again(member, view, now)
+            return self.restart_again(member, snapshot, now)
         if phase is Phase.RESOLVING_RESTART:
-            return self.resolve_restart(member, view, now)
+            return self.resolve_restart(member, snapshot, now)
         if phase is Phase.VERIFYING:
-            return self.verify(member, view, now)
+            return self.verify(member, snapshot, now)
         if phase is Phase.UNCORDONING:
             return self.rate_limited(member, Action(ActionKind.UNCORDON, member.id), now)
         if phase is Phase.WARMING:
             self.wait_until_warm(member, now)
         return None
 
-    def wait_until_drained(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def wait_until_drained(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         """Nothing in flight, as every node said after the cordon: now the command."""
-        out = view.out(member.id) if view.at > member.since else None
-        if out is not None and not view.taken_out(member.id):
+        out = snapshot.in_flight(member.id) if snapshot.taken_at_s > member.since else None
+        if out is not None and not snapshot.cordoned_everywhere(member.id):
             member.enter_phase(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
             return Action(ActionKind.CORDON, member.id)
         if out == 0:
@@ -122,7 +122,7 @@
             self.cancel_update(member, now, f"not empty after {self.times.drain_s:g} s: {left}")
         return None
 
-    def restart_again(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def restart_again(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         """Out already, and not fit to come back: taken out once more, as a node may have forgotten."""
         if now - member.since > self.times.drain_s:
             self.mark_failed(
@@ -131,16 +131,16 @@
             return None
         if member.proved == 0:
             return self.rate_limited(member, Action(ActionKind.CORDON, member.id), now)
-        return self.begin_restart(member, now) if view.out(member.id) == 0 else None
+        return self.begin_restart(member, now) if snapshot.in_flight(member.id) == 0 else None
 
-    def resolve_restart(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def resolve_restart(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         """What its command did: the version that runs says it, or a start that the list tells of."""
         if self.available.version:
             action = self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
         else:
             action = None
-            line = (view.listed or {}).get(member.id)
-            if line is not None and line.started != member.before:
+            line = (snapshot.listed or {}).get(member.id)
+            if line is not None and line.started_ms != member.before:
                 member.enter_phase(Phase.VERIFYING, now)
         limit = self.times.command_s + self.times.list_update_s
         if member.phase is Phase.RESOLVING_RESTART and now - member.since > limit:
@@ -156,7 +156,7 @@
         member.target, member.before = member.version, -1  # the list owes no news of a start
         member.enter_phase(Phase.VERIFYING, now)
 
-    def verify(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def verify(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         """It answers, runs what it should, answers rightly, and is listed: in that order."""
         if now - member.since > self.times.ready_s:
             self.mark_failed(
@@ -169,15 +169,15 @@
             return self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
         if member.proved <= 2 and self.available.check:
             return self.rate_limited(member, Action(ActionKind.CHECK, member.id, member.target), now)
-        line = (view.listed or {}).get(member.id)
+        line = (snapshot.listed or {}).get(member.id)
         fresh = line is not None and (
-            line.started != member.before or now - member.since > self.times.list_update_s
+            line.started_ms != member.before or now - member.since > self.times.list_update_s
         )
         if line is None or line.lifecycle != "active" or not fresh:
             member.note = "the list does not have it yet"
             return None
-        member.version, member.started = member.target, line.started
-        member.untold = line.started == member.before
+        member.version, member.started = member.target, line.started_ms
+        member.untold = line.started_ms == member.before
         member.enter_phase(Phase.UNCORDONING, now, "")
         return self.rate_limited(member, Action(ActionKind.UNCORDON, member.id), now)
 
@@ -238,24 +238,24 @@
         addresses = self.available.admin_addresses[member.id]
         return addresses[member.door], addresses[(member.door + 1) % len(addresses)]
 
-    def next_action(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        phase, node = member.phase, view.nodes[member.id]
+    def next_action(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        phase, node = member.phase, snapshot.nodes[member.id]
         if (
             phase is Phase.DRAINING
             and node.processes
-            and node.at(self.current_and_successor_address(member)[0]) is None
+            and node.process_at(self.current_and_successor_address(member)[0]) is None
         ):
             member.door = self.available.admin_addresses[member.id].index(
-                node.processes[0].door
+                node.processes[0].admin_address
             )  # restarted by others
         current, successor = self.current_and_successor_address(member)
         if phase is Phase.DRAINING:
-            if node.at(successor) is not None:
+            if node.process_at(successor) is not None:
                 self.cancel_update(member, now, f"somebody's process has its door at {successor} already")
                 return None
             return self.begin_restart(member, now, successor)
         if phase is Phase.RESOLVING_RESTART:
-            if node.at(successor) is not None:
+            if node.process_at(successor) is not None:
                 member.enter_phase(Phase.VERIFYING, now)
             elif now - member.since > self.times.command_s + self.times.list_update_s:
                 if not member.lost or member.tries >= MAX_RESTART_TRIES:
@@ -263,11 +263,11 @@
                 self.cancel_update(member, now, member.note)
             return None
         if phase is Phase.VERIFYING:
-            return self.verify(member, view, now)
+            return self.verify(member, snapshot, now)
         if phase is Phase.STOPPING_PREDECESSOR:
             return self.rate_limited(member, Action(ActionKind.STOP, member.id, member.version, current), now)
         if phase is Phase.AWAITING_PREDECESSOR_EXIT:
-            self.wait_for_predecessor_exit(member, view, now)
+            self.wait_for_predecessor_exit(member, snapshot, now)
         if phase is Phase.DOWN:  # its second process never said yes: it ends, the first serves on
             return self.rate_limited(
                 member, Action(ActionKind.STOP, member.id, member.target, successor), now
@@ -276,9 +276,9 @@
             self.wait_until_warm(member, now)
         return None
 
-    def verify(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def verify(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         _, successor = self.current_and_successor_address(member)
-        process = view.nodes[member.id].at(successor)
+        process = snapshot.nodes[member.id].process_at(successor)
         if now - member.since > self.times.ready_s:
             said = process.health if process else "no answer at its door"
             fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or said}"
@@ -295,11 +295,15 @@
             member.enter_phase(Phase.STOPPING_PREDECESSOR, now, "")
         return None
 
-    def wait_for_predecessor_exit(self, member: MemberState, view: Snapshot, now: float) -> None:
+    def wait_for_predecessor_exit(self, member: MemberState, snapshot: Snapshot, now: float) -> None:
         """The process before is gone from its door, and the new one serves."""
         current, successor = self.current_and_successor_address(member)
-        node = view.nodes[member.id]
-        if view.at > member.since and node.at(current) is None and node.at(successor) is not None:
+        node = snapshot.nodes[member.id]
+        if (
+            snapshot.taken_at_s > member.since
+            and node.process_at(current) is None
+            and node.process_at(successor) is not None
+        ):
             member.door = self.available.admin_addresses[member.id].index(successor)
             member.version = member.target
             member.enter_phase(Phase.WARMING, now, "")
--- a/flaxstep/rollout/snapshot.py
+++ b/flaxstep/rollout/snapshot.py
@@ -6,38 +6,38 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-Bins = Counter[int]  # good answers by bucket; bucket n ends at 2 ** ((n + 1) / 4) - 1 ms
+LatencyHistogram = Counter[int]  # good answers by bucket; bucket n ends at 2 ** ((n + 1) / 4) - 1 ms
 
 
 @dataclass(frozen=True, slots=True)
-class Answers:
+class ResponseCounters:
     """What a server has answered a node in one class, since the server's process (or the node's) started."""
 
     ok: int = 0
     failed: int = 0  # may have run
-    unstarted: int = 0  # turned away, or no connection
-    took: Bins = field(default_factory=Counter)
+    not_started: int = 0  # turned away, or no connection
+    latencies: LatencyHistogram = field(default_factory=Counter)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCounters:
     """What one process of a node knows of a listed server."""
 
-    out: int  # attempts
+    in_flight: int  # attempts
     cordoned: bool
-    started: int  # Unix ms, as its list has it; 0: long ago
-    classes: dict[str, Answers]
+    started_ms: int  # Unix ms, as its list has it; 0: long ago
+    classes: dict[str, ResponseCounters]
 
 
 @dataclass(frozen=True, slots=True)
-class Process:
+class ProcessView:
     """One process of a node, by its door. `results`: requests served, refused, failed, by class."""
 
-    door: str
+    admin_address: str
     health: str  # "ready", or what else it said
     servers: dict[str, ServerCounters]
     results: dict[str, tuple[int, int, int]]
-    tells: bool = True  # of job servers; a node of an older version can't
+    reports_servers: bool = True  # of job servers; a node of an older version can't
 
     @property
     def ready(self) -> bool:
@@ -49,19 +49,19 @@
     """A node's processes that answered; `why` none did."""
 
     name: str
-    processes: tuple[Process, ...]
-    why: str = ""
+    processes: tuple[ProcessView, ...]
+    error: str = ""
 
     @property
     def ready(self) -> bool:
         return any(process.ready for process in self.processes)
 
-    def at(self, door: str) -> Process | None:
-        return next((process for process in self.processes if process.door == door), None)
+    def process_at(self, admin_address: str) -> ProcessView | None:
+        return next((process for process in self.processes if process.admin_address == admin_address), None)
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedServer:
     """A job server's line in the list."""
 
     id: str
@@ -69,33 +69,33 @@
     zone: str
     size: float
     lifecycle: str
-    started: int
+    started_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
     """The farm as one look shows it. `listed` is None where the list did not answer."""
 
-    at: float  # s, when the look began
+    taken_at_s: float  # s, when the look began
     nodes: dict[str, NodeView]
-    listed: dict[str, Listed] | None
+    listed: dict[str, ListedServer] | None
 
-    def out(self, server: str) -> int | None:
+    def in_flight(self, server: str) -> int | None:
         """Attempts out at a server from all nodes; None if a node did not tell."""
         for node in self.nodes.values():
-            if not node.processes or not all(process.tells for process in node.processes):
+            if not node.processes or not all(process.reports_servers for process in node.processes):
                 return None
-        return sum(held.out for held in self.held(server))
+        return sum(held.in_flight for held in self.server_counters(server))
 
-    def cordoned(self, server: str) -> bool:
+    def cordoned_anywhere(self, server: str) -> bool:
         """Whether a server is out by hand at any node."""
-        return any(held.cordoned for held in self.held(server))
+        return any(held.cordoned for held in self.server_counters(server))
 
-    def taken_out(self, server: str) -> bool:
+    def cordoned_everywhere(self, server: str) -> bool:
         """Whether it is out by hand at every node that lists it."""
-        return all(held.cordoned for held in self.held(server))
+        return all(held.cordoned for held in self.server_counters(server))
 
-    def held(self, server: str) -> Iterator[ServerCounters]:
+    def server_counters(self, server: str) -> Iterator[ServerCounters]:
         """What each process of each node knows of a server."""
         for node in self.nodes.values():
             yield from (p.servers[server] for p in node.processes if server in p.servers)
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -56,23 +56,23 @@
 
     # What a look brings.
 
-    def tick(self, now: float, view: Snapshot) -> list[Action]:
+    def tick(self, now: float, snapshot: Snapshot) -> list[Action]:
         """What is to be done now."""
         passed = now - self.release.looked if self.release.looked >= 0 else 0.0
         self.release.looked = now
-        if self.plan.what == "servers" and view.listed is not None:
-            meet(self.members, view.listed, self.plan.from_)
-        if why := self.scales.look(view, passed, now):
+        if self.plan.what == "servers" and snapshot.listed is not None:
+            meet(self.members, snapshot.listed, self.plan.from_)
+        if why := self.scales.look(snapshot, passed, now):
             self.fall(why, now)
-        actions = list(self.go_on(view, now))
+        actions = list(self.go_on(snapshot, now))
         if self.release.state in ACTIVE_STATES:
             self.hard_limits(now)
         if self.release.state is State.MEASURING:
             self.wait_for_answers()
         elif self.release.state is State.IN_PROGRESS:
-            self.roll(view, now)
+            self.roll(snapshot, now)
         elif self.release.state is State.ROLLING_BACK:
-            self.go_back(view, now)
+            self.go_back(snapshot, now)
         elif self.release.state in END_STATES or self.release.state is State.PAUSED:
             self.release.waiting = ""
         return actions
@@ -91,7 +91,7 @@
 
     # What is under way.
 
-    def go_on(self, view: Snapshot, now: float) -> Iterator[Action]:
+    def go_on(self, snapshot: Snapshot, now: float) -> Iterator[Action]:
         """The next step of each member that is between two versions."""
         state = self.release.state
         wanted = {State.IN_PROGRESS: self.plan.to, State.ROLLING_BACK: self.plan.from_}.get(state)
@@ -100,7 +100,7 @@
                 continue
             if member.phase in BEFORE_RESTART and member.target != wanted:
                 self.member_steps.cancel_update(member, now, f"the release is {state.value}")
-            action = self.member_steps.next_action(member, view, now)
+            action = self.member_steps.next_action(member, snapshot, now)
             if action is not None:
                 yield action
 
@@ -126,7 +126,7 @@
         if release.measured > watch.before_s + watch.wait_s:
             self.end(State.ABANDONED, f"only {release.answers} answers to measure before the release")
 
-    def roll(self, view: Snapshot, now: float) -> None:
+    def roll(self, snapshot: Snapshot, now: float) -> None:
         """Send the next members out, or watch the wave, or end."""
         release = self.release
         if release.doubted >= 0:
@@ -140,18 +140,20 @@
             if release.wave > self.line.last_wave:
                 self.end(State.DONE, "")
                 return
-        self.wait(unfit(view, self.plan, release.served) or self.next_out(view, self.plan.to, now), now)
+        self.wait(
+            unfit(snapshot, self.plan, release.served) or self.next_out(snapshot, self.plan.to, now), now
+        )
 
-    def next_out(self, view: Snapshot, version: str, now: float) -> str:
+    def next_out(self, snapshot: Snapshot, version: str, now: float) -> str:
         """Begin the trips of as many as there is room for; or why not even one, if none is under way."""
         reason = ""
         for member in self.candidates(version):
-            reason = no_room(member, self.members.values(), self.plan, view, version == self.plan.from_)
+            reason = no_room(member, self.members.values(), self.plan, snapshot, version == self.plan.from_)
             if reason:
                 break
             if member.tries >= MOST_TRIES:
                 reason = f"{member.id}, {member.tries} times: {member.note or member.fault}"
-            elif member.phase is Phase.SERVING and view.cordoned(member.id):
+            elif member.phase is Phase.SERVING and snapshot.cordoned_anywhere(member.id):
                 reason = f"{member.id} is out by somebody else's hand"
             else:
                 self.member_steps.begin_update(member, version, now)
@@ -198,7 +200,7 @@
         for member in self.members.values():
             member.fault, member.tries = "", 0
 
-    def go_back(self, view: Snapshot, now: float) -> None:
+    def go_back(self, snapshot: Snapshot, now: float) -> None:
         for member in self.members.values():
             if member.phase is Phase.VERIFYING and member.target == self.plan.to and not member.open:
                 member.enter_phase(Phase.DOWN, now, "the release goes back")  # no need to call it back first
@@ -206,7 +208,7 @@
         if all(m.version == self.plan.from_ and m.phase is Phase.SERVING for m in wanted):
             self.end(State.ROLLED_BACK, self.release.why)
             return
-        self.wait(silent(view) or self.next_out(view, self.plan.from_, now), now)
+        self.wait(silent(snapshot) or self.next_out(snapshot, self.plan.from_, now), now)
 
     def end(self, state: State, why: str) -> None:
         release = self.release
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -33,9 +33,9 @@
         self.judge = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
         self.release.doubted = -1.0
 
-    def look(self, view: Snapshot, passed: float, now: float) -> str:
+    def look(self, snapshot: Snapshot, passed: float, now: float) -> str:
         """Take a look's figures up. Why the version is bad, if it is."""
-        release, found = self.release, self.evidence.take(view)
+        release, found = self.release, self.evidence.take(snapshot)
         release.served = self.evidence.served()
         if release.state is State.MEASURING:
             release.measured += passed
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -14,8 +14,14 @@
 from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.plan import Member, Plan
 from flaxstep.rollout.release import Release, State, line_up
-from flaxstep.rollout.snapshot import Answers, Listed, NodeView, ServerCounters, Snapshot
-from flaxstep.rollout.snapshot import Process as Told
+from flaxstep.rollout.snapshot import (
+    ListedServer,
+    NodeView,
+    ProcessView,
+    ResponseCounters,
+    ServerCounters,
+    Snapshot,
+)
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 from flaxstep.routing.interface import Result as Ended
 from flaxstep.routing.interface import State as Lifecycle
@@ -95,7 +101,7 @@
         entries = self.world.discovery.entries.values()
         started = {self.world.by_id[e.id].plan.number: round(e.started) for e in entries}
         listed = {
-            str(number): Listed(str(number), "", str(s.plan.zone), 1.0, "active", started[number])
+            str(number): ListedServer(str(number), "", str(s.plan.zone), 1.0, "active", started[number])
             for s in self.world.servers
             if (number := s.plan.number) in started
         }
@@ -105,7 +111,7 @@
             nodes[str(node)] = NodeView(str(node), told, "" if told else "connection refused")
         return Snapshot(now, nodes, listed)
 
-    def told(self, process: SimulatedNode, started: dict[int, int]) -> Told:
+    def told(self, process: SimulatedNode, started: dict[int, int]) -> ProcessView:
         figures, held = self.known(process), Counter(a.server for a in process.attempts.values())
         out = {self.world.by_id[i].plan.number for i in process.cordoned}
         servers = {}
@@ -117,14 +123,14 @@
             classes = {}
             for cls, name in enumerate(self.classes):
                 if known is None:
-                    classes[name] = Answers()
+                    classes[name] = ResponseCounters()
                     continue
                 took = Counter({b: n for b, n in enumerate(known.took[cls]) if n})
-                classes[name] = Answers(took.total(), known.failed[cls], known.unstarted[cls], took)
+                classes[name] = ResponseCounters(took.total(), known.failed[cls], known.unstarted[cls], took)
             servers[str(number)] = ServerCounters(held.get(number, 0), number in out, at, classes)
         counts = self.results.get(process, [[0, 0, 0] for _ in self.classes])
         results = {n: (c[0], c[1], c[2]) for n, c in zip(self.classes, counts, strict=True)}
-        return Told(f"{process.node}-{id(process)}", "ready", servers, results)
+        return ProcessView(f"{process.node}-{id(process)}", "ready", servers, results)
 
     # Acts.
 
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -13,7 +13,14 @@
 from flaxstep.rollout.io.store import Store
 from flaxstep.rollout.plan import Member, Plan, parse_plan
 from flaxstep.rollout.release import END_STATES, Release, line_up
-from flaxstep.rollout.snapshot import Answers, Listed, NodeView, Process, ServerCounters, Snapshot
+from flaxstep.rollout.snapshot import (
+    ListedServer,
+    NodeView,
+    ProcessView,
+    ResponseCounters,
+    ServerCounters,
+    Snapshot,
+)
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
 PLAN = """
@@ -110,7 +117,7 @@
     def look(self) -> Snapshot:
         nodes = {n: self.node(n) for n in self.cordons}
         lines = {
-            name: Listed(name, name, "z", 1.0, "active", s.started)
+            name: ListedServer(name, name, "z", 1.0, "active", s.started)
             for name, s in self.servers.items()
             if s.up
         }
@@ -122,10 +129,10 @@
         servers = {}
         for name, server in self.servers.items():
             ok, bad, bins = self.counts.get((node, name), (0, 0, Counter()))
-            answers = {"build": Answers(ok, bad, 0, Counter(bins))}
+            answers = {"build": ResponseCounters(ok, bad, 0, Counter(bins))}
             servers[name] = ServerCounters(0, name in self.cordons[node], server.started, answers)
         found = [
-            Process(door, self.health(door, version), servers, {"build": self.results[node]})
+            ProcessView(door, self.health(door, version), servers, {"build": self.results[node]})
             for door, version in self.doors[node].items()
         ]
         return NodeView(node, tuple(found))
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -47,14 +47,18 @@
 
 
 def test_a_look_shows_what_doors_and_list_say() -> None:
-    view = asyncio.run(seen(dict(GOOD)))
-    [process] = view.nodes["n0"].processes
+    snapshot = asyncio.run(seen(dict(GOOD)))
+    [process] = snapshot.nodes["n0"].processes
     held = process.servers["s-1"]
-    assert process.ready and process.tells and process.results == {"build": (7, 2, 1)}
-    assert (held.out, held.cordoned, held.started) == (2, True, 5)
-    assert held.classes["build"].took == Counter({8: 2, 9: 1})
-    assert view.out("s-1") == 2 and view.cordoned("s-1") and view.taken_out("s-1")
-    assert view.listed is not None and view.listed["s-1"].address == "h:1"
+    assert process.ready and process.reports_servers and process.results == {"build": (7, 2, 1)}
+    assert (held.in_flight, held.cordoned, held.started_ms) == (2, True, 5)
+    assert held.classes["build"].latencies == Counter({8: 2, 9: 1})
+    assert (
+        snapshot.in_flight("s-1") == 2
+        and snapshot.cordoned_anywhere("s-1")
+        and snapshot.cordoned_everywhere("s-1")
+    )
+    assert snapshot.listed is not None and snapshot.listed["s-1"].address == "h:1"
 
 
 BEFORE = {"s-1": {name: value for name, value in SERVER.items() if name != "cordoned"}}
@@ -79,12 +83,12 @@
     ],
 )
 def test_a_door_that_says_less_or_nonsense(changed: dict[str, Any], health: str, why: str) -> None:
-    view = asyncio.run(seen(GOOD | changed))
-    node = view.nodes["n0"]
+    snapshot = asyncio.run(seen(GOOD | changed))
+    node = snapshot.nodes["n0"]
     assert [process.health for process in node.processes] == ([health] if health else [])
-    assert why in node.why
+    assert why in node.error
     if health == "ready":  # it can't tell what is in flight, so nothing may be restarted
-        assert not node.processes[0].tells and view.out("s-1") is None
+        assert not node.processes[0].reports_servers and snapshot.in_flight("s-1") is None
 
 
 @pytest.mark.parametrize("answer", [(503, "late"), (200, "[]"), (200, '{"instances": [{}]}'), b""])
