--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -1,7 +1,7 @@
-"""How often the judge of releases halts a good version, and how soon a bad one, over drawn releases.
+"""How often the analysis of releases halts a good version, and how soon a bad one, over drawn releases.
 
 From the root: .venv-lab/bin/python -B -m benchmarks.releases [COUNT]. Farms, load, machines' differences,
-spells in which one machine is slow, and the versions are drawn; the judge sees counts of one second each, as
+spells in which one machine is slow, and the versions are drawn; the analysis sees counts of one second each, as
 it will live.
 """
 
@@ -15,7 +15,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Seen
+from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, MemberSample
 
 FALSE_HALT, FAILURES, SLOWER = 0.01, 0.002, 1.1
 BAKE, MARK = 30, 0.75  # looks after each wave; the quantile of a member's answers that is its mark
@@ -66,7 +66,9 @@
             slowed=np.where(generator.random(n) < part, generator.uniform(2, 6), 1.0),
         )
 
-    def look(self, at: int, released: npt.NDArray[np.bool_], version: str) -> tuple[list[Seen], float]:
+    def look(
+        self, at: int, released: npt.NDArray[np.bool_], version: str
+    ) -> tuple[list[MemberSample], float]:
         """What a second shows, and how many answers the version spoilt."""
         generator, n = self.generator, len(self.rate)
         load = 1 + self.swing * np.sin(at / 25)
@@ -89,7 +91,7 @@
         columns = zip(
             released.tolist(), answers.tolist(), failed.tolist(), slow.tolist(), self.usual, strict=True
         )
-        return [Seen(str(i), *line) for i, line in enumerate(columns)], spoilt
+        return [MemberSample(str(i), *line) for i, line in enumerate(columns)], spoilt
 
 
 def above(distance: Floats) -> Floats:
@@ -101,7 +103,7 @@
 def release(seed: int, version: str) -> Outcome:
     """One drawn release: a canary, then shares, each watched for a while."""
     farm = Farm.draw(np.random.default_rng([seed, VERSIONS.index(version)]))
-    n, judge, outcome = len(farm.rate), CanaryAnalysis(FALSE_HALT, FAILURES), Outcome()
+    n, analysis, outcome = len(farm.rate), CanaryAnalysis(FALSE_HALT, FAILURES), Outcome()
     order = farm.generator.permutation(n)
     sizes = [1] + [max(1, round(share * n)) for share in SHARES]
     answered = 0.0
@@ -109,11 +111,11 @@
         released = np.zeros(n, dtype=bool)
         released[order[: sizes[min(look // BAKE, len(sizes) - 1)]]] = True
         seen, spoilt = farm.look(look, released, version)
-        answered += sum(line.answers for line in seen)
+        answered += sum(line.responses for line in seen)
         outcome.harmed += spoilt
-        opinion = judge.look(seen)
-        if opinion.finding is Finding.BAD:
-            outcome.halted, outcome.released, outcome.why = look, int(released.sum()), opinion.why
+        assessment = analysis.update(seen)
+        if assessment.finding is Finding.BAD:
+            outcome.halted, outcome.released, outcome.why = look, int(released.sum()), assessment.reason
             break
     whole = float(farm.rate.sum()) * BAKE * (len(sizes) + 1)
     outcome.harmed /= whole
--- a/flaxstep/rollout/canary_analysis.py
+++ b/flaxstep/rollout/canary_analysis.py
@@ -3,7 +3,7 @@
 
 Each look brings what every member answered since the one before. Two things are judged: failures, and answers
 that are slow by the member's own measure from before the release, so that machines may differ and load may
-move all of them together. The released members' counts are bet against what the rest leads to expect; a bet
+move all of them together. The released members' counts are test against what the rest leads to expect; a test
 that multiplies its stake by 2 / `false_halt` says that the version is bad. Bets are counted from the
 release's beginning to its end and never started anew, so that looking often, or at many waves, adds nothing
 to the chance of a false halt.
@@ -18,13 +18,15 @@
 
 import msgspec
 
-FACTORS = (1.3, 1.6, 2.0, 3.0, 6.0, 12.0)  # how many times the expected share each bet is on
-MOST = 0.98  # a share above this is not bet on: one answer the other way would ruin the stake
-PRIOR = 4.0  # members that a spread of 1 is worth before any was seen
-RECENT = 10.0  # looks over which the rest's failures are averaged: what meets the farm meets all
-AGAIN = 20.0  # what convinces of one found bad before: a spell that has passed does so 1 in 10 times
-WORST = 0.3  # of the released, left out: machines that have turned bad by themselves
-LEAST_REST = 50  # answers of the rest below which a look is not counted: nothing to compare with
+BET_FACTORS = (1.3, 1.6, 2.0, 3.0, 6.0, 12.0)  # how many times the expected share each test is on
+MAX_BET_SHARE = 0.98  # a share above this is not test on: one answer the other way would ruin the stake
+PRIOR_MEMBERS = 4.0  # members that a spread of 1 is worth before any was seen
+RECENT_SNAPSHOTS = 10.0  # looks over which the rest's failures are averaged: what meets the farm meets all
+SECOND_ANALYSIS_THRESHOLD = (
+    20.0  # what convinces of one found bad before: a spell that has passed does so 1 in 10 times
+)
+IGNORED_WORST_SHARE = 0.3  # of the released, left out: machines that have turned bad by themselves
+MIN_BASELINE_RESPONSES = 50  # answers of the rest below which a look is not counted: nothing to compare with
 
 
 class Finding(Enum):
@@ -34,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class MemberSample:
     """What one member answered since the last look.
 
     `slow` counts answers above the member's own mark, taken before the release; a released member's mark is
@@ -44,25 +46,25 @@
 
     member: str
     released: bool
-    answers: int
+    responses: int
     failed: int
     slow: int
-    usual: float
+    baseline_slow_share: float
     cold: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Opinion:
-    """`stake` is what the better bet has grown to, `wanted` what ends the release."""
+class Assessment:
+    """`stake` is what the better test has stake_on to, `wanted` what ends the release."""
 
     finding: Finding
     stake: float
-    wanted: float
-    why: str
+    threshold: float
+    reason: str
 
 
 @dataclass(slots=True)
-class Score:
+class MemberCounts:
     """One member's counts since the release began."""
 
     answers: int = 0
@@ -71,24 +73,24 @@
 
 
 @dataclass(slots=True)
-class Bet:
+class SequentialTest:
     """One thing that is judged: counts against what was expected of them."""
 
     name: str
-    rest: dict[str, Score] = field(default_factory=dict)
-    released: dict[str, Score] = field(default_factory=dict)
+    rest: dict[str, MemberCounts] = field(default_factory=dict)
+    released: dict[str, MemberCounts] = field(default_factory=dict)
 
     def add(self, member: str, released: bool, answers: int, counted: int, share: float) -> None:
         """A member's answers, and the share of them that the rest leads to expect."""
         group = self.released if released else self.rest
-        score = group.setdefault(member, Score())
+        score = group.setdefault(member, MemberCounts())
         score.answers += answers
         score.counted += counted
         score.expected += answers * share
 
-    def spread(self) -> float:
+    def overdispersion(self) -> float:
         """How much more the rest differ among themselves than chance would have it; 1 if they don't."""
-        deviations, count = PRIOR, PRIOR
+        deviations, count = PRIOR_MEMBERS, PRIOR_MEMBERS
         for score in self.rest.values():
             if score.expected > 0 and score.answers > score.expected:
                 chance = score.expected * (1 - score.expected / score.answers)
@@ -102,115 +104,130 @@
         Where several are released it is what the others say without the worst of them: machines that turn bad
         by themselves are no reason to halt what runs well on the rest.
         """
-        scores = sorted(self.released.values(), key=lambda score: score.counted - score.expected)
-        left_out = math.ceil(WORST * len(scores)) if len(scores) > 1 else 0
-        return self.grown(scores[: len(scores) - left_out])
+        members_counts = sorted(self.released.values(), key=lambda score: score.counted - score.expected)
+        left_out = math.ceil(IGNORED_WORST_SHARE * len(members_counts)) if len(members_counts) > 1 else 0
+        return self.stake_on(members_counts[: len(members_counts) - left_out])
 
-    def grown(self, scores: Sequence[Score]) -> float:
+    def stake_on(self, members_counts: Sequence[MemberCounts]) -> float:
         """What 1 staked on these members' counts has become."""
-        answers = sum(score.answers for score in scores)
-        counted = sum(score.counted for score in scores)
-        expected = sum(score.expected for score in scores)
+        answers = sum(score.answers for score in members_counts)
+        counted = sum(score.counted for score in members_counts)
+        expected = sum(score.expected for score in members_counts)
         rest = sum(score.answers for score in self.rest.values())
         if not answers or not rest or expected <= 0:
             return 1.0
         # What is expected is itself known only as well as the rest's answers tell.
-        doubt = self.spread() * (1 + answers / rest)
-        share = min(expected / answers, MOST)
-        stakes = [1.0]  # the part of the stake that is not bet
-        for factor in FACTORS:
-            worse = min(share * factor, MOST)
+        uncertainty = self.overdispersion() * (1 + answers / rest)
+        share = min(expected / answers, MAX_BET_SHARE)
+        stakes = [1.0]  # the part of the stake that is not test
+        for factor in BET_FACTORS:
+            worse = min(share * factor, MAX_BET_SHARE)
             if worse <= share:
                 continue
             gain = counted * math.log(worse / share)
             gain += (answers - counted) * math.log((1 - worse) / (1 - share))
-            stakes.append(math.exp(min(gain / doubt, 50.0)))
+            stakes.append(math.exp(min(gain / uncertainty, 50.0)))
         return sum(stakes) / len(stakes)
 
 
 class CanaryAnalysis:
     """`failures` is the share of failed answers, beyond the rest's, that nobody minds."""
 
-    def __init__(self, false_halt: float, failures: float) -> None:
-        self.usual = self.wanted = 2.0 / false_halt  # two bets share the chance
-        self.failures = failures
-        self.bets = (Bet("failures"), Bet("slow answers"))
-        self.failed = self.answers = 0  # of the rest so far
+    def __init__(self, false_halt: float, tolerated_failure_share: float) -> None:
+        self.default_threshold = self.threshold = 2.0 / false_halt  # two bets share the chance
+        self.tolerated_failure_share = tolerated_failure_share
+        self.tests = (SequentialTest("failures"), SequentialTest("slow answers"))
+        self.baseline_failed = self.baseline_responses = 0  # of the rest so far
         self.recent = [0.0, 0.0]  # the same, of the last looks
-        self.fit = False  # whether the last look had something to compare with
+        self.has_baseline = False  # whether the last look had something to compare with
 
-    def look(self, seen: Sequence[Seen]) -> Opinion:
+    def update(self, seen: Sequence[MemberSample]) -> Assessment:
         """Take up what was seen since the last look, and say what it comes to."""
         seen = [line for line in seen if not line.cold]
         rest = [line for line in seen if not line.released]
-        self.failed += sum(line.failed for line in rest)
-        self.answers += sum(line.answers for line in rest)
-        self.fit = self.answers >= LEAST_REST and sum(line.answers for line in rest) > 0
-        if not self.fit:
-            return Opinion(
-                Finding.INSUFFICIENT_DATA, *self.best(), "too few answers of members that are not released"
+        self.baseline_failed += sum(line.failed for line in rest)
+        self.baseline_responses += sum(line.responses for line in rest)
+        self.has_baseline = (
+            self.baseline_responses >= MIN_BASELINE_RESPONSES and sum(line.responses for line in rest) > 0
+        )
+        if not self.has_baseline:
+            return Assessment(
+                Finding.INSUFFICIENT_DATA,
+                *self.stake_and_threshold(),
+                "too few answers of members that are not released",
             )
-        failing, slowing = self.bets
+        failure_test, slow_test = self.tests
         failed, answers = self.recent
-        self.recent[0] = failed + sum(line.failed for line in rest) - failed / RECENT
-        self.recent[1] = answers + sum(line.answers for line in rest) - answers / RECENT
-        share = max((self.failed + 1) / (self.answers + 1), self.recent[0] / max(self.recent[1], 1.0))
+        self.recent[0] = failed + sum(line.failed for line in rest) - failed / RECENT_SNAPSHOTS
+        self.recent[1] = answers + sum(line.responses for line in rest) - answers / RECENT_SNAPSHOTS
+        share = max(
+            (self.baseline_failed + 1) / (self.baseline_responses + 1),
+            self.recent[0] / max(self.recent[1], 1.0),
+        )
         for line in seen:
-            wanted = share + (self.failures if line.released else 0.0)
-            failing.add(line.member, line.released, line.answers, line.failed, wanted)
-        moved = common(rest)
+            expected_share = share + (self.tolerated_failure_share if line.released else 0.0)
+            failure_test.add(line.member, line.released, line.responses, line.failed, expected_share)
+        slowdown = baseline_slowdown(rest)
         for line in seen:
-            slowing.add(line.member, line.released, line.answers, line.slow, min(line.usual * moved, MOST))
-        return self.opinion()
+            slow_test.add(
+                line.member,
+                line.released,
+                line.responses,
+                line.slow,
+                min(line.baseline_slow_share * slowdown, MAX_BET_SHARE),
+            )
+        return self.assessment()
 
-    def memory(self) -> dict[str, object]:
+    def to_state(self) -> dict[str, object]:
         """All that it has seen, as JSON can say it: a release outlives its controller."""
         return {
-            "failed": self.failed,
-            "answers": self.answers,
+            "failed": self.baseline_failed,
+            "answers": self.baseline_responses,
             "recent": self.recent,
-            "wanted": self.wanted,
-            "bets": msgspec.to_builtins(self.bets),
+            "wanted": self.threshold,
+            "bets": msgspec.to_builtins(self.tests),
         }
 
-    def remember(self, memory: dict[str, object]) -> None:
+    def load_state(self, state: dict[str, object]) -> None:
         """Go on from there."""
-        self.failed = msgspec.convert(memory["failed"], int)
-        self.answers = msgspec.convert(memory["answers"], int)
-        self.recent = msgspec.convert(memory["recent"], list[float])
-        self.wanted = msgspec.convert(memory["wanted"], float)
-        self.bets = msgspec.convert(memory["bets"], tuple[Bet, Bet])
+        self.baseline_failed = msgspec.convert(state["failed"], int)
+        self.baseline_responses = msgspec.convert(state["answers"], int)
+        self.recent = msgspec.convert(state["recent"], list[float])
+        self.threshold = msgspec.convert(state["wanted"], float)
+        self.tests = msgspec.convert(state["bets"], tuple[SequentialTest, SequentialTest])
 
     @property
-    def sole(self) -> bool:
+    def single_member(self) -> bool:
         """Whether all that speaks against the version comes from one machine."""
-        return max(len(bet.released) for bet in self.bets) < 2
+        return max(len(test.released) for test in self.tests) < 2
 
-    def look_again(self) -> None:
+    def begin_second_analysis(self) -> None:
         """Forget what the released have answered so far; what the rest have stands. Less convinces now."""
-        self.wanted = AGAIN
-        for bet in self.bets:
-            bet.released.clear()
+        self.threshold = SECOND_ANALYSIS_THRESHOLD
+        for test in self.tests:
+            test.released.clear()
 
-    def acquit(self) -> None:
+    def end_second_analysis(self) -> None:
         """The second look found nothing: as much as ever is wanted."""
-        self.wanted = self.usual
+        self.threshold = self.default_threshold
 
-    def best(self) -> tuple[float, float]:
-        return max(bet.stake() for bet in self.bets), self.wanted
+    def stake_and_threshold(self) -> tuple[float, float]:
+        return max(test.stake() for test in self.tests), self.threshold
 
-    def opinion(self) -> Opinion:
-        bet = max(self.bets, key=Bet.stake)
-        stake = bet.stake()
-        counted = sum(score.counted for score in bet.released.values())
-        answers = sum(score.answers for score in bet.released.values())
-        expected = sum(score.expected for score in bet.released.values())
-        why = f"{bet.name}: {counted} of {answers} answers, {expected:.0f} expected by the rest"
-        return Opinion(Finding.BAD if stake >= self.wanted else Finding.GOOD, stake, self.wanted, why)
+    def assessment(self) -> Assessment:
+        test = max(self.tests, key=SequentialTest.stake)
+        stake = test.stake()
+        counted = sum(score.counted for score in test.released.values())
+        answers = sum(score.answers for score in test.released.values())
+        expected = sum(score.expected for score in test.released.values())
+        why = f"{test.name}: {counted} of {answers} answers, {expected:.0f} expected by the rest"
+        return Assessment(
+            Finding.BAD if stake >= self.threshold else Finding.GOOD, stake, self.threshold, why
+        )
 
 
-def common(rest: Iterable[Seen]) -> float:
+def baseline_slowdown(rest: Iterable[MemberSample]) -> float:
     """How slow answers of the rest have become, all members together: load moves them all."""
     lines = list(rest)
-    usual = sum(line.answers * line.usual for line in lines)
+    usual = sum(line.responses * line.baseline_slow_share for line in lines)
     return (sum(line.slow for line in lines) + 1) / (usual + 1)
--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from flaxstep.rollout.canary_analysis import Seen
+from flaxstep.rollout.canary_analysis import MemberSample
 from flaxstep.rollout.snapshot import LatencyHistogram, ResponseCounters, Snapshot
 
 ABOVE = 0.25  # the part of a member's answers that shall lie above its mark
@@ -137,7 +137,7 @@
 
     # In the release.
 
-    def seen(self, found: dict[str, Counts], released: set[str], cold: set[str]) -> Iterator[Seen]:
+    def seen(self, found: dict[str, Counts], released: set[str], cold: set[str]) -> Iterator[MemberSample]:
         """What the judge takes, a line for each member that answered anything."""
         for member, counts in found.items():
             if not counts.good + counts.bad:
@@ -152,7 +152,7 @@
                     slow += self.slow(member, cls, bins, line.last, member in released)
             share = usual / timed if timed else ABOVE
             answers = counts.good + counts.bad
-            yield Seen(
+            yield MemberSample(
                 member, member in released, answers, counts.bad, min(slow, answers), share,
                 member in cold or not timed,
             )  # fmt: skip
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from flaxstep.rollout.actions import Phase
-from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Opinion
+from flaxstep.rollout.canary_analysis import Assessment, CanaryAnalysis, Finding
 from flaxstep.rollout.evidence import Evidence
 from flaxstep.rollout.release import State, WaveMembers
 from flaxstep.rollout.snapshot import Snapshot
@@ -20,17 +20,17 @@
         self.line, self.plan, self.release = line, line.plan, line.release
         watch, release = self.plan.watch, self.release
         self.evidence = Evidence(self.plan.what, watch.slower, self.plan.room.worths)
-        self.judge = CanaryAnalysis(watch.false_halt, watch.failures)
+        self.analysis = CanaryAnalysis(watch.false_halt, watch.failures)
         if release.marks or release.pooled:
             self.evidence.remember(release.marks, release.pooled)
         else:
             release.measured = 0.0  # what a controller before had measured went with it
         if release.bets:
-            self.judge.remember(release.bets)
+            self.analysis.load_state(release.bets)
 
     def anew(self) -> None:
         """Staff have seen what spoke against the version, and want it judged from here on."""
-        self.judge = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
+        self.analysis = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
         self.release.doubted = -1.0
 
     def look(self, snapshot: Snapshot, passed: float, now: float) -> str:
@@ -50,30 +50,30 @@
         seen = list(self.evidence.seen(found, released, cold))
         if 0 <= self.doubted_for(now) < self.plan.watch.doubt_s:
             seen = [line for line in seen if not line.released]  # what met the machine shall pass first
-        opinion = self.judge.look(seen)
-        release.stake, release.wanted = opinion.stake, opinion.wanted
-        why = self.heed(opinion, passed, now) if release.state is State.IN_PROGRESS else ""
-        release.bets = self.judge.memory()
+        assessment = self.analysis.update(seen)
+        release.stake, release.wanted = assessment.stake, assessment.threshold
+        why = self.heed(assessment, passed, now) if release.state is State.IN_PROGRESS else ""
+        release.bets = self.analysis.to_state()
         return why
 
     def doubted_for(self, now: float) -> float:
         """s since one machine alone was found bad; negative: none is."""
         return now - self.release.doubted if self.release.doubted >= 0 else -1.0
 
-    def heed(self, opinion: Opinion, passed: float, now: float) -> str:
+    def heed(self, assessment: Assessment, passed: float, now: float) -> str:
         """What the judgement means for the wave. One machine alone must be found bad twice."""
         release, watch, doubted = self.release, self.plan.watch, self.doubted_for(now)
-        if opinion.finding is Finding.BAD:
-            if not self.judge.sole or doubted >= 0:
-                return f"worse than the rest: {opinion.why}"
+        if assessment.finding is Finding.BAD:
+            if not self.analysis.single_member or doubted >= 0:
+                return f"worse than the rest: {assessment.reason}"
             release.doubted, release.baked = now, 0.0
-            self.judge.look_again()
+            self.analysis.begin_second_analysis()
         elif doubted >= 0:
             if doubted > watch.doubt_s + watch.bake_s:
                 release.doubted = -1.0
-                self.judge.acquit()
+                self.analysis.end_second_analysis()
                 release.baked = watch.bake_s if self.line.wave_is_out() else 0.0
-        elif self.line.wave_is_out() and (opinion.finding is Finding.GOOD or not self.line.rest()):
+        elif self.line.wave_is_out() and (assessment.finding is Finding.GOOD or not self.line.rest()):
             release.baked += passed
         return ""
 
@@ -84,4 +84,4 @@
 
     def starved(self) -> str:
         """Why nothing can be judged just now; nothing if it can."""
-        return "" if self.judge.fit or not self.line.rest() else "too few answers to compare with"
+        return "" if self.analysis.has_baseline or not self.line.rest() else "too few answers to compare with"
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -1,4 +1,4 @@
-"""The judge keeps its promise over drawn releases, and says what it bets on."""
+"""The analysis keeps its promise over drawn releases, and says what it bets on."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import pytest
 
 from benchmarks import releases
-from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Seen
+from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, MemberSample
 
 COUNT = 120
 
 
-def look(released: tuple[int, int, int], rest: tuple[int, int, int], members: int = 6) -> list[Seen]:
+def look(released: tuple[int, int, int], rest: tuple[int, int, int], members: int = 6) -> list[MemberSample]:
     """One member with the version beside some without: answers, failed, slow of each."""
-    lines = [Seen("new", True, *released, usual=0.25)]
-    return lines + [Seen(f"old {i}", False, *rest, usual=0.25) for i in range(members)]
+    lines = [MemberSample("new", True, *released, baseline_slow_share=0.25)]
+    return lines + [MemberSample(f"old {i}", False, *rest, baseline_slow_share=0.25) for i in range(members)]
 
 
 @pytest.mark.parametrize("version", releases.VERSIONS)
@@ -33,52 +33,60 @@
 
 
 def test_load_that_moves_all_is_no_reason_and_a_version_that_is_slower_still_is() -> None:
-    judge = CanaryAnalysis(0.01, 0.002)
+    analysis = CanaryAnalysis(0.01, 0.002)
     for _ in range(60):  # all of them three times as often slow as usual
-        assert judge.look(look((30, 0, 22), (30, 0, 22))).finding is Finding.GOOD
-    while (opinion := judge.look(look((30, 0, 29), (30, 0, 20)))).finding is Finding.GOOD:
+        assert analysis.update(look((30, 0, 22), (30, 0, 22))).finding is Finding.GOOD
+    while (assessment := analysis.update(look((30, 0, 29), (30, 0, 20)))).finding is Finding.GOOD:
         pass
-    assert opinion.finding is Finding.BAD and opinion.stake >= opinion.wanted == 200.0
-    assert opinion.why.startswith("slow answers:") and "expected" in opinion.why
+    assert assessment.finding is Finding.BAD and assessment.stake >= assessment.threshold == 200.0
+    assert assessment.reason.startswith("slow answers:") and "expected" in assessment.reason
 
 
 def test_a_cold_member_s_answers_count_for_nothing_until_it_is_warm() -> None:
-    judge = CanaryAnalysis(0.01, 0.002)
+    analysis = CanaryAnalysis(0.01, 0.002)
     for cold in (True, False):
         for _ in range(60):
             rest = look((30, 0, 7), (30, 0, 7))[1:]
-            last = judge.look([Seen("new", True, 30, 3, 30, usual=0.25, cold=cold), *rest])
+            last = analysis.update(
+                [MemberSample("new", True, 30, 3, 30, baseline_slow_share=0.25, cold=cold), *rest]
+            )
         assert last.finding is (Finding.GOOD if cold else Finding.BAD)
 
 
 def test_failures_that_meet_the_rest_at_the_same_time_are_no_version_s() -> None:
-    judge = CanaryAnalysis(0.01, 0.002)
+    analysis = CanaryAnalysis(0.01, 0.002)
     for second in range(120):
         burst = 3 if 60 <= second < 70 else 0
-        assert judge.look(look((30, burst, 7), (30, burst, 7))).finding is Finding.GOOD
+        assert analysis.update(look((30, burst, 7), (30, burst, 7))).finding is Finding.GOOD
 
 
 def test_what_it_has_seen_outlives_its_controller_and_a_second_look_begins_anew() -> None:
-    judge = CanaryAnalysis(0.01, 0.002)
-    while judge.look(look((30, 2, 7), (30, 0, 7))).finding is Finding.GOOD:
-        assert judge.sole
+    analysis = CanaryAnalysis(0.01, 0.002)
+    while analysis.update(look((30, 2, 7), (30, 0, 7))).finding is Finding.GOOD:
+        assert analysis.single_member
     other = CanaryAnalysis(0.01, 0.002)
-    other.remember(json.loads(json.dumps(judge.memory())))
-    assert other.opinion() == judge.opinion() and other.opinion().finding is Finding.BAD
-    other.look_again()
-    assert other.opinion().finding is Finding.GOOD and other.wanted < judge.wanted
+    other.load_state(json.loads(json.dumps(analysis.to_state())))
+    assert other.assessment() == analysis.assessment() and other.assessment().finding is Finding.BAD
+    other.begin_second_analysis()
+    assert other.assessment().finding is Finding.GOOD and other.threshold < analysis.threshold
 
 
 def test_one_bad_machine_of_several_halts_nothing_and_two_do() -> None:
     for bad, finding in ((1, Finding.GOOD), (2, Finding.BAD)):
-        judge = CanaryAnalysis(0.01, 0.002)
+        analysis = CanaryAnalysis(0.01, 0.002)
         for _ in range(60):
-            new = [Seen(f"new {i}", True, 30, 9 if i < bad else 0, 6, usual=0.25) for i in range(3)]
-            last = judge.look(new + look((30, 0, 7), (30, 0, 7))[1:])
+            new = [
+                MemberSample(f"new {i}", True, 30, 9 if i < bad else 0, 6, baseline_slow_share=0.25)
+                for i in range(3)
+            ]
+            last = analysis.update(new + look((30, 0, 7), (30, 0, 7))[1:])
         assert last.finding is finding
 
 
 def test_with_nothing_to_compare_with_it_says_so() -> None:
-    judge = CanaryAnalysis(0.01, 0.002)
-    assert judge.look([Seen("new", True, 900, 900, 900, usual=0.25)]).finding is Finding.INSUFFICIENT_DATA
-    assert judge.look([]).finding is Finding.INSUFFICIENT_DATA
+    analysis = CanaryAnalysis(0.01, 0.002)
+    assert (
+        analysis.update([MemberSample("new", True, 900, 900, 900, baseline_slow_share=0.25)]).finding
+        is Finding.INSUFFICIENT_DATA
+    )
+    assert analysis.update([]).finding is Finding.INSUFFICIENT_DATA
