--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -17,19 +17,21 @@
 from flaxstep.rollout.canary_analysis import MemberSample
 from flaxstep.rollout.snapshot import LatencyHistogram, ResponseCounters, Snapshot
 
-ABOVE = 0.25  # the part of a member's answers that shall lie above its mark
-LEAST = 30  # answers below which a member's own mark says little: then all members' mark is taken
-LOOK_BACK = 10.0  # s over which the farm's served worth is taken
-LEAST_ASKED = 20.0  # requests in that time below which it says nothing
-NOTHING = ResponseCounters()
+TARGET_SLOW_SHARE = 0.25  # the part of a member's answers that shall lie above its mark
+MIN_MEMBER_RESPONSES = (
+    30  # answers below which a member's own mark says little: then all members' mark is taken
+)
+WORTH_WINDOW_S = 10.0  # s over which the farm's served worth is taken
+MIN_WORTH_REQUESTED = 20.0  # requests in that time below which it says nothing
+NO_RESPONSES = ResponseCounters()
 
 
-def edge(bucket: int) -> float:
+def bucket_end_ms(bucket: int) -> float:
     """Where a bucket ends, in ms."""
     return float(2 ** ((bucket + 1) / 4) - 1)
 
 
-class Mark(msgspec.Struct, frozen=True):
+class SlowThreshold(msgspec.Struct, frozen=True):
     """ResponseCounters beyond bucket `last` are slow; `usual` is their share before the release."""
 
     last: int
@@ -40,146 +42,178 @@
 class Counts:
     """What one member answered since the last look."""
 
-    good: int = 0
-    bad: int = 0
-    took: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class
+    succeeded: int = 0
+    failed: int = 0
+    latencies: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class
 
 
 class Evidence:
     """`kind` is what members are: job servers, told by all nodes, or the nodes themselves."""
 
-    def __init__(self, kind: str, slower: float, worths: dict[str, float]) -> None:
-        self.kind, self.slower, self.worths = kind, slower, worths
-        self.before: dict[str, dict[str, LatencyHistogram]] = {}  # by member and class, while it is measured
-        self.marks: dict[str, dict[str, Mark]] = {}
-        self.pooled: dict[str, Mark] = {}
-        self.last: dict[tuple[str, str, str], tuple[int, ResponseCounters]] = {}  # by door, server and class
+    def __init__(self, kind: str, tolerated_slowdown: float, worths: dict[str, float]) -> None:
+        self.kind, self.tolerated_slowdown, self.worths = kind, tolerated_slowdown, worths
+        self.baseline_histograms: dict[
+            str, dict[str, LatencyHistogram]
+        ] = {}  # by member and class, while it is measured
+        self.thresholds: dict[str, dict[str, SlowThreshold]] = {}
+        self.pooled_thresholds: dict[str, SlowThreshold] = {}
+        self.last_counters: dict[
+            tuple[str, str, str], tuple[int, ResponseCounters]
+        ] = {}  # by door, server and class
         self.last_results: dict[tuple[str, str], tuple[int, int, int]] = {}  # by door and class
-        self.asked: deque[tuple[float, float, float]] = deque()  # when, worth asked for, worth served
-        self.rest: dict[tuple[str, str], float] = {}  # parts of an answer not counted yet
+        self.worth_history: deque[tuple[float, float, float]] = deque()  # when, worth asked for, worth served
+        self.carried_fractions: dict[tuple[str, str], float] = {}  # parts of an answer not counted yet
 
-    def take(self, snapshot: Snapshot) -> dict[str, Counts]:
+    def update(self, snapshot: Snapshot) -> dict[str, Counts]:
         """What came since the last look, by member. A door seen for the first time tells nothing yet."""
         found: dict[str, Counts] = {}
         asked = served = 0.0
-        last, self.last = self.last, {}
+        last, self.last_counters = self.last_counters, {}
         last_results, self.last_results = self.last_results, {}
         for node in snapshot.nodes.values():
             for process in node.processes:
                 for cls, now in process.results.items():
                     key = process.admin_address, cls
                     self.last_results[key] = now
-                    fresh = since(last_results.get(key), now)
+                    fresh = counter_increase(last_results.get(key), now)
                     worth = self.worths.get(cls, 1.0)
                     asked, served = asked + worth * sum(fresh), served + worth * fresh[0]
                     if self.kind == "nodes":
                         counts = found.setdefault(node.name, Counts())
-                        counts.good, counts.bad = counts.good + fresh[0], counts.bad + sum(fresh[1:])
-                for server, held in process.servers.items():
+                        counts.succeeded, counts.failed = (
+                            counts.succeeded + fresh[0],
+                            counts.failed + sum(fresh[1:]),
+                        )
+                for server, server_counters in process.servers.items():
                     member = node.name if self.kind == "nodes" else server
                     counts = found.setdefault(member, Counts())
-                    for cls, told in held.classes.items():
-                        self.last[process.admin_address, server, cls] = held.started_ms, told
-                        self.add(
-                            counts, cls, last.get((process.admin_address, server, cls)), held.started_ms, told
+                    for cls, told in server_counters.classes.items():
+                        self.last_counters[process.admin_address, server, cls] = (
+                            server_counters.started_ms,
+                            told,
+                        )
+                        self.add_responses(
+                            counts,
+                            cls,
+                            last.get((process.admin_address, server, cls)),
+                            server_counters.started_ms,
+                            told,
                         )
-        self.asked.append((snapshot.taken_at_s, asked, served))
-        while self.asked[0][0] < snapshot.taken_at_s - LOOK_BACK:
-            self.asked.popleft()
+        self.worth_history.append((snapshot.taken_at_s, asked, served))
+        while self.worth_history[0][0] < snapshot.taken_at_s - WORTH_WINDOW_S:
+            self.worth_history.popleft()
         return found
 
-    def add(
+    def add_responses(
         self,
         counts: Counts,
         cls: str,
         last: tuple[int, ResponseCounters] | None,
         started: int,
-        told: ResponseCounters,
+        counters: ResponseCounters,
     ) -> None:
         """What a door tells more of a server and class than at the last look."""
         if last is None:
             return
-        before = last[1] if last[0] == started and told.ok >= last[1].ok else NOTHING
-        bins = counts.took.setdefault(cls, Counter())
-        bins.update(told.latencies)
-        bins.subtract(before.latencies)
+        before = last[1] if last[0] == started and counters.ok >= last[1].ok else NO_RESPONSES
+        histogram = counts.latencies.setdefault(cls, Counter())
+        histogram.update(counters.latencies)
+        histogram.subtract(before.latencies)
         if self.kind == "servers":
-            counts.good += told.ok - before.ok
-            counts.bad += max(0, told.failed + told.not_started - before.failed - before.not_started)
+            counts.succeeded += counters.ok - before.ok
+            counts.failed += max(
+                0, counters.failed + counters.not_started - before.failed - before.not_started
+            )
 
-    def served(self) -> float | None:
+    def served_worth_share(self) -> float | None:
         """The part of the worth asked for lately that was served; None where too little was asked."""
-        asked = sum(line[1] for line in self.asked)
-        return sum(line[2] for line in self.asked) / asked if asked >= LEAST_ASKED else None
+        asked = sum(line[1] for line in self.worth_history)
+        return sum(line[2] for line in self.worth_history) / asked if asked >= MIN_WORTH_REQUESTED else None
 
     # Before the release.
 
-    def measure(self, found: dict[str, Counts]) -> int:
+    def add_baseline(self, found: dict[str, Counts]) -> int:
         """Take a look up as 'before'; how many answers there are by now."""
         for member, counts in found.items():
-            mine = self.before.setdefault(member, {})
-            for cls, bins in counts.took.items():
-                mine.setdefault(cls, Counter()).update(bins)
-        return sum(bins.total() for mine in self.before.values() for bins in mine.values())
-
-    def settle(self) -> None:
+            histograms = self.baseline_histograms.setdefault(member, {})
+            for cls, histogram in counts.latencies.items():
+                histograms.setdefault(cls, Counter()).update(histogram)
+        return sum(
+            histogram.total()
+            for histograms in self.baseline_histograms.values()
+            for histogram in histograms.values()
+        )
+
+    def compute_thresholds(self) -> None:
         """The marks, from what was measured."""
         whole: dict[str, LatencyHistogram] = {}
-        for mine in self.before.values():
-            for cls, bins in mine.items():
-                whole.setdefault(cls, Counter()).update(bins)
-        self.pooled = {cls: mark(bins) for cls, bins in whole.items()}
-        self.marks = {
-            member: {cls: mark(bins) for cls, bins in mine.items() if bins.total() >= LEAST}
-            for member, mine in self.before.items()
+        for histograms in self.baseline_histograms.values():
+            for cls, histogram in histograms.items():
+                whole.setdefault(cls, Counter()).update(histogram)
+        self.pooled_thresholds = {cls: slow_threshold(histogram) for cls, histogram in whole.items()}
+        self.thresholds = {
+            member: {
+                cls: slow_threshold(histogram)
+                for cls, histogram in histograms.items()
+                if histogram.total() >= MIN_MEMBER_RESPONSES
+            }
+            for member, histograms in self.baseline_histograms.items()
         }
-        self.before.clear()
+        self.baseline_histograms.clear()
 
     # In the release.
 
-    def seen(self, found: dict[str, Counts], released: set[str], cold: set[str]) -> Iterator[MemberSample]:
+    def member_samples(
+        self, found: dict[str, Counts], released: set[str], cold: set[str]
+    ) -> Iterator[MemberSample]:
         """What the judge takes, a line for each member that answered anything."""
         for member, counts in found.items():
-            if not counts.good + counts.bad:
+            if not counts.succeeded + counts.failed:
                 continue
             slow, usual, timed = 0, 0.0, 0
-            for cls, bins in counts.took.items():
-                line = self.marks.get(member, {}).get(cls) or self.pooled.get(cls)
+            for cls, histogram in counts.latencies.items():
+                line = self.thresholds.get(member, {}).get(cls) or self.pooled_thresholds.get(cls)
                 if line is not None:
-                    count = bins.total()
+                    count = histogram.total()
                     timed += count
                     usual += count * line.usual
-                    slow += self.slow(member, cls, bins, line.last, member in released)
-            share = usual / timed if timed else ABOVE
-            answers = counts.good + counts.bad
+                    slow += self.count_slow(member, cls, histogram, line.last, member in released)
+            share = usual / timed if timed else TARGET_SLOW_SHARE
+            answers = counts.succeeded + counts.failed
             yield MemberSample(
-                member, member in released, answers, counts.bad, min(slow, answers), share,
+                member, member in released, answers, counts.failed, min(slow, answers), share,
                 member in cold or not timed,
             )  # fmt: skip
 
-    def slow(self, member: str, cls: str, bins: LatencyHistogram, last: int, released: bool) -> int:
+    def count_slow(
+        self, member: str, cls: str, histogram: LatencyHistogram, last: int, released: bool
+    ) -> int:
         """ResponseCounters above the mark. Within the bucket that a raised mark parts, they count by its part."""
         if not released:
-            return sum(count for bucket, count in bins.items() if bucket > last)
-        raised = edge(last) * self.slower
+            return sum(count for bucket, count in histogram.items() if bucket > last)
+        raised = bucket_end_ms(last) * self.tolerated_slowdown
         place = 4 * math.log2(raised + 1) - 1
-        parted, part = math.ceil(place), math.ceil(place) - place
-        exact = sum(count for bucket, count in bins.items() if bucket > parted)
-        exact_part = exact + part * bins.get(parted, 0) + self.rest.get((member, cls), 0.0)
-        whole = math.floor(exact_part)
-        self.rest[member, cls] = exact_part - whole
+        split_bucket, part = math.ceil(place), math.ceil(place) - place
+        exact = sum(count for bucket, count in histogram.items() if bucket > split_bucket)
+        exact_count = (
+            exact + part * histogram.get(split_bucket, 0) + self.carried_fractions.get((member, cls), 0.0)
+        )
+        whole = math.floor(exact_count)
+        self.carried_fractions[member, cls] = exact_count - whole
         return whole
 
     # What outlives a controller.
 
-    def memory(self) -> dict[str, object]:
-        return {"marks": self.marks, "pooled": self.pooled}
+    def to_state(self) -> dict[str, object]:
+        return {"marks": self.thresholds, "pooled": self.pooled_thresholds}
 
-    def remember(self, marks: dict[str, dict[str, Mark]], pooled: dict[str, Mark]) -> None:
-        self.marks, self.pooled = marks, pooled
+    def load_state(
+        self, thresholds: dict[str, dict[str, SlowThreshold]], pooled_thresholds: dict[str, SlowThreshold]
+    ) -> None:
+        self.thresholds, self.pooled_thresholds = thresholds, pooled_thresholds
 
 
-def since(last: tuple[int, int, int] | None, now: tuple[int, int, int]) -> tuple[int, int, int]:
+def counter_increase(last: tuple[int, int, int] | None, now: tuple[int, int, int]) -> tuple[int, int, int]:
     """What was added to counters; nothing where they were not known, all where they began anew."""
     if last is None:
         return 0, 0, 0
@@ -188,13 +222,13 @@
     return now[0] - last[0], now[1] - last[1], now[2] - last[2]
 
 
-def mark(bins: LatencyHistogram) -> Mark:
+def slow_threshold(histogram: LatencyHistogram) -> SlowThreshold:
     """The bucket beyond which the part of the answers is nearest to what is wanted."""
-    total, above = bins.total(), 0
-    best = Mark(max(bins, default=0), 0.0)
-    for bucket in sorted(bins, reverse=True):
+    total, above = histogram.total(), 0
+    best = SlowThreshold(max(histogram, default=0), 0.0)
+    for bucket in sorted(histogram, reverse=True):
         share = above / total
-        if abs(share - ABOVE) < abs(best.usual - ABOVE):
-            best = Mark(bucket, share)
-        above += bins[bucket]
+        if abs(share - TARGET_SLOW_SHARE) < abs(best.usual - TARGET_SLOW_SHARE):
+            best = SlowThreshold(bucket, share)
+        above += histogram[bucket]
     return best
--- a/flaxstep/rollout/release.py
+++ b/flaxstep/rollout/release.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from flaxstep.rollout.actions import MemberState, Phase
-from flaxstep.rollout.evidence import Mark
+from flaxstep.rollout.evidence import SlowThreshold
 from flaxstep.rollout.plan import Member, Plan, waves
 
 
@@ -44,8 +44,8 @@
     served: float | None = None
     low_since: float = -1.0  # since when less than the plan's `halt_worth` is served
     doubted: float = -1.0  # when the canary was found bad once
-    marks: dict[str, dict[str, Mark]] = {}
-    pooled: dict[str, Mark] = {}
+    marks: dict[str, dict[str, SlowThreshold]] = {}
+    pooled: dict[str, SlowThreshold] = {}
     bets: dict[str, object] = {}
 
 
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -22,7 +22,7 @@
         self.evidence = Evidence(self.plan.what, watch.slower, self.plan.room.worths)
         self.analysis = CanaryAnalysis(watch.false_halt, watch.failures)
         if release.marks or release.pooled:
-            self.evidence.remember(release.marks, release.pooled)
+            self.evidence.load_state(release.marks, release.pooled)
         else:
             release.measured = 0.0  # what a controller before had measured went with it
         if release.bets:
@@ -35,19 +35,19 @@
 
     def look(self, snapshot: Snapshot, passed: float, now: float) -> str:
         """Take a look's figures up. Why the version is bad, if it is."""
-        release, found = self.release, self.evidence.take(snapshot)
-        release.served = self.evidence.served()
+        release, found = self.release, self.evidence.update(snapshot)
+        release.served = self.evidence.served_worth_share()
         if release.state is State.MEASURING:
             release.measured += passed
-            release.answers = self.evidence.measure(found)
+            release.answers = self.evidence.add_baseline(found)
             if release.measured >= self.plan.watch.before_s and release.answers >= LEAST_BEFORE:
-                self.evidence.settle()
-                release.marks, release.pooled = self.evidence.marks, self.evidence.pooled
+                self.evidence.compute_thresholds()
+                release.marks, release.pooled = self.evidence.thresholds, self.evidence.pooled_thresholds
                 release.state = State.IN_PROGRESS
             return ""
         released = {m.id for m in self.line.all() if m.version == self.plan.to}
         cold = {m.id for m in self.line.all() if m.phase is not Phase.SERVING}
-        seen = list(self.evidence.seen(found, released, cold))
+        seen = list(self.evidence.member_samples(found, released, cold))
         if 0 <= self.doubted_for(now) < self.plan.watch.doubt_s:
             seen = [line for line in seen if not line.released]  # what met the machine shall pass first
         assessment = self.analysis.update(seen)
