--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -22,7 +22,7 @@
 from flaxstep.rollout.io.controller import Controller, members_of, open_release
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot
 from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
-from flaxstep.rollout.limits import unfit
+from flaxstep.rollout.limits import reason_to_wait
 from flaxstep.rollout.plan import Plan, PlanError, at_once, read_plan, waves
 from flaxstep.rollout.release import State
 
@@ -96,7 +96,7 @@
     members = await members_of(farm, plan)
     snapshot = await collect_snapshot(farm, clock())
     whole = sum(member.size for member in members)
-    lines, reasons = [], [reason] if (reason := unfit(snapshot, plan, None)) else []
+    lines, reasons = [], [reason] if (reason := reason_to_wait(snapshot, plan, None)) else []
     for number, wave in enumerate(waves(plan, members), 1):
         count = at_once(plan, wave, members) if plan.what == "servers" else plan.room.out_at_once
         largest = sorted((member.size for member in wave.members), reverse=True)[: max(count, 1)]
@@ -167,7 +167,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, this.cancel)
     kept = await open_release(farm, store, plan)
     controller = Controller(farm, store, kept, tell)
-    controller.pick_up()
+    controller.recover()
     await controller.run()
     return kept
 
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -14,7 +14,7 @@
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot, look_at_list
 from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
 from flaxstep.rollout.plan import Member, Plan, PlanError
-from flaxstep.rollout.release import END_STATES, Release, State, line_up
+from flaxstep.rollout.release import END_STATES, Release, State, assign_waves
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
 ASKED_AT_ONCE = 8  # commands
@@ -28,14 +28,14 @@
     def __init__(self, farm: Farm, store: Store, kept: Kept, tell: Tell) -> None:
         self.farm, self.store, self.kept, self.tell = farm, store, kept, tell
         doors = {node.name: node.doors for node in farm.nodes}
-        self.course = ReleaseStateMachine(kept.plan, kept.release, kept.members, doors)
+        self.state_machine = ReleaseStateMachine(kept.plan, kept.release, kept.members, doors)
         self.hands = Executor(farm, kept.plan)
         self.told: tuple[State, str, int] | None = None
         self.told_phases = {member.id: member.phase for member in kept.members.values()}
 
-    def pick_up(self) -> None:
+    def recover(self) -> None:
         """What a controller that was killed has left: every action without a result."""
-        self.course.pick_up(self.kept.left.values(), clock())
+        self.state_machine.recover(self.kept.left.values(), clock())
         for number, action in self.kept.left.items():
             self.tell(f"{action.kind.value} {action.member}: {LOST.text}")
             self.store.record(self.kept.id, self.kept.release, self.kept.members, number, LOST)
@@ -51,7 +51,7 @@
         try:
             async with asyncio.TaskGroup() as tasks:
                 self.take_orders()
-                while not self.course.over:
+                while not self.state_machine.finished:
                     begun = time.monotonic()
                     await self.look_once(tasks)
                     ended_at = (ended_at or begun) if self.kept.release.state in END_STATES else None
@@ -60,13 +60,13 @@
                     await asyncio.sleep(max(0.05, begun + watch.look_s - time.monotonic()))
         except ExceptionGroup as group:
             raise group.exceptions[0] from None
-        if self.kept.release.state in (State.DONE, State.ROLLED_BACK) and self.course.over:
+        if self.kept.release.state in (State.DONE, State.ROLLED_BACK) and self.state_machine.finished:
             self.store.end(self.kept.id, self.kept.release, self.kept.members)
 
     def take_orders(self) -> None:
         with self.store.transaction():
             for number, what in self.store.orders(self.kept.id):
-                said = self.course.order(what)
+                said = self.state_machine.apply_order(what)
                 self.store.answer_order(number, said)
                 self.tell(f"{what}, called by staff{': no, ' if said else ''}{said}")
             self.store.save(self.kept.id, self.kept.release, self.kept.members)
@@ -76,7 +76,7 @@
         self.hands.snapshot = snapshot
         if self.store.orders(self.kept.id):
             self.take_orders()
-        actions = self.course.tick(clock(), snapshot)
+        actions = self.state_machine.tick(clock(), snapshot)
         ids = self.store.intend(self.kept.id, self.kept.release, self.kept.members, actions)
         self.report()
         for number, action in zip(ids, actions, strict=True):
@@ -90,7 +90,7 @@
             raise ClaimLost(f"{self.store.path}: another controller has taken this farm over")
         result = await self.hands.do(action)
         self.kept.members[action.member].open = 0
-        self.course.on_action_ended(action, result, clock())
+        self.state_machine.on_action_ended(action, result, clock())
         if number:
             word = "yes" if result.ok else "no"
             self.tell(
@@ -138,7 +138,7 @@
             raise StoreError(f"release {found.id}, {found.plan.name}, is not over; it must be ended first")
         found.plan = plan  # staff may think otherwise of 'on_bad' by now
         return found
-    members = line_up(plan, await members_of(farm, plan))
+    members = assign_waves(plan, await members_of(farm, plan))
     await ask_versions(farm, plan, members)
     release = Release()
     number = store.begin(plan, release, members)
--- a/flaxstep/rollout/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -8,13 +8,15 @@
 from flaxstep.rollout.plan import Plan
 from flaxstep.rollout.snapshot import ListedServer, Snapshot
 
-MOST_CRASHES = 2  # of released members, and more than of the others
+CRASH_LIMIT = 2  # of released members, and more than of the others
 NOT_EXPECTED_TO_SERVE = frozenset(
     {Phase.RESOLVING_RESTART, Phase.VERIFYING, Phase.DOWN}
 )  # listed or not, nobody expects it to serve
 
 
-def meet(members: dict[str, MemberState], listed: Mapping[str, ListedServer], version: str) -> None:
+def update_from_list(
+    members: dict[str, MemberState], listed: Mapping[str, ListedServer], version: str
+) -> None:
     """Take up who has left the list, come to it, or started anew without being told to.
 
     Who comes is taken for one of the version before, and goes with the last wave, as nobody planned it.
@@ -43,29 +45,29 @@
         )
 
 
-def broken(members: Iterable[MemberState], plan: Plan, served: float | None) -> str:
+def failure_reason(members: Iterable[MemberState], plan: Plan, served: float | None) -> str:
     """What ends a release without any comparison; nothing if nothing does."""
     crashes = {True: 0, False: 0}
     for member in members:
         if member.fault:
             return f"{member.id}: {member.fault}"
         crashes[member.version == plan.to] += member.crashes
-    if crashes[True] >= MOST_CRASHES and crashes[True] > crashes[False]:
+    if crashes[True] >= CRASH_LIMIT and crashes[True] > crashes[False]:
         return f"released members ended by themselves {crashes[True]} times"
     if served is not None and served < plan.room.halt_worth and any(m.version == plan.to for m in members):
         return f"only {served:.2f} of the worth asked for is served"
     return ""
 
 
-def silent(snapshot: Snapshot) -> str:
+def silent_node(snapshot: Snapshot) -> str:
     """Which node does not answer, if one doesn't."""
     found = [node for node in snapshot.nodes.values() if not node.processes]
     return f"node {found[0].name} does not answer: {found[0].error}" if found else ""
 
 
-def unfit(snapshot: Snapshot, plan: Plan, served: float | None) -> str:
+def reason_to_wait(snapshot: Snapshot, plan: Plan, served: float | None) -> str:
     """Why the farm is in no state for anything new to go out; nothing if it is."""
-    if why := silent(snapshot):
+    if why := silent_node(snapshot):
         return why
     drained = [node.name for node in snapshot.nodes.values() if not node.ready]
     if drained:
@@ -77,7 +79,7 @@
     return ""
 
 
-def no_room(
+def capacity_reason(
     member: MemberState, members: Iterable[MemberState], plan: Plan, snapshot: Snapshot, back: bool
 ) -> str:
     """Why a member can't go out now; nothing if it can. Who is out already costs no room.
--- a/flaxstep/rollout/release.py
+++ b/flaxstep/rollout/release.py
@@ -55,26 +55,26 @@
     def __init__(self, plan: Plan, release: Release, members: dict[str, MemberState]) -> None:
         self.plan, self.release, self.members = plan, release, members
 
-    def all(self) -> Iterable[MemberState]:
+    def all_members(self) -> Iterable[MemberState]:
         return self.members.values()
 
-    def wave(self) -> list[MemberState]:
+    def current_wave(self) -> list[MemberState]:
         """The members of the wave that is under way."""
-        return [m for m in self.all() if m.wave == self.release.wave and m.phase is not Phase.GONE]
+        return [m for m in self.all_members() if m.wave == self.release.wave and m.phase is not Phase.GONE]
 
     @property
     def last_wave(self) -> int:
-        return max((m.wave for m in self.all()), default=0)
+        return max((m.wave for m in self.all_members()), default=0)
 
-    def wave_is_out(self) -> bool:
-        return all(m.version == self.plan.to and m.phase is Phase.SERVING for m in self.wave())
+    def wave_is_updated(self) -> bool:
+        return all(m.version == self.plan.to and m.phase is Phase.SERVING for m in self.current_wave())
 
-    def rest(self) -> bool:
+    def has_baseline(self) -> bool:
         """Whether anybody is left to compare with."""
-        return any(m.version != self.plan.to and m.phase is Phase.SERVING for m in self.all())
+        return any(m.version != self.plan.to and m.phase is Phase.SERVING for m in self.all_members())
 
 
-def line_up(plan: Plan, members: list[Member]) -> dict[str, MemberState]:
+def assign_waves(plan: Plan, members: list[Member]) -> dict[str, MemberState]:
     """The members of a plan's waves, each with its wave."""
     return {
         member.id: MemberState(member.id, member.zone, member.size, plan.from_, wave=number)
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -17,15 +17,21 @@
     Phase,
     StepTimes,
 )
-from flaxstep.rollout.limits import broken, meet, no_room, silent, unfit
+from flaxstep.rollout.limits import (
+    capacity_reason,
+    failure_reason,
+    reason_to_wait,
+    silent_node,
+    update_from_list,
+)
 from flaxstep.rollout.member_steps import MemberSteps, NodeSteps, ServerSteps
 from flaxstep.rollout.plan import Plan
 from flaxstep.rollout.release import ACTIVE_STATES, END_STATES, Release, State, WaveMembers
 from flaxstep.rollout.snapshot import Snapshot
 from flaxstep.rollout.wave_evaluation import WaveEvaluation
 
-LOW_TIME = 30.0  # s: bursts end sooner, and are no version's fault
-MOST_TRIES = 4  # trips of one member that came to nothing, for reasons of the farm's
+LOW_WORTH_LIMIT_S = 30.0  # s: bursts end sooner, and are no version's fault
+MAX_UPDATE_TRIES = 4  # trips of one member that came to nothing, for reasons of the farm's
 
 
 class ReleaseStateMachine:
@@ -51,8 +57,8 @@
         self.member_steps: MemberSteps = (
             ServerSteps(times, available) if plan.what == "servers" else NodeSteps(times, available)
         )
-        self.line = WaveMembers(plan, release, members)
-        self.scales = WaveEvaluation(self.line)
+        self.wave_members = WaveMembers(plan, release, members)
+        self.evaluation = WaveEvaluation(self.wave_members)
 
     # What a look brings.
 
@@ -61,18 +67,18 @@
         passed = now - self.release.looked if self.release.looked >= 0 else 0.0
         self.release.looked = now
         if self.plan.what == "servers" and snapshot.listed is not None:
-            meet(self.members, snapshot.listed, self.plan.from_)
-        if why := self.scales.look(snapshot, passed, now):
-            self.fall(why, now)
-        actions = list(self.go_on(snapshot, now))
+            update_from_list(self.members, snapshot.listed, self.plan.from_)
+        if why := self.evaluation.update(snapshot, passed, now):
+            self.on_bad_version(why, now)
+        actions = list(self.step_members(snapshot, now))
         if self.release.state in ACTIVE_STATES:
             self.hard_limits(now)
         if self.release.state is State.MEASURING:
-            self.wait_for_answers()
+            self.check_baseline()
         elif self.release.state is State.IN_PROGRESS:
-            self.roll(snapshot, now)
+            self.advance(snapshot, now)
         elif self.release.state is State.ROLLING_BACK:
-            self.go_back(snapshot, now)
+            self.continue_rollback(snapshot, now)
         elif self.release.state in END_STATES or self.release.state is State.PAUSED:
             self.release.waiting = ""
         return actions
@@ -84,14 +90,14 @@
             release.low_since = -1.0
         elif release.low_since < 0:
             release.low_since = now
-        low = release.low_since >= 0 and now - release.low_since > LOW_TIME
-        why = broken(self.members.values(), self.plan, served if low else None)
+        low = release.low_since >= 0 and now - release.low_since > LOW_WORTH_LIMIT_S
+        why = failure_reason(self.members.values(), self.plan, served if low else None)
         if why:
-            self.fall(why, now)
+            self.on_bad_version(why, now)
 
     # What is under way.
 
-    def go_on(self, snapshot: Snapshot, now: float) -> Iterator[Action]:
+    def step_members(self, snapshot: Snapshot, now: float) -> Iterator[Action]:
         """The next step of each member that is between two versions."""
         state = self.release.state
         wanted = {State.IN_PROGRESS: self.plan.to, State.ROLLING_BACK: self.plan.from_}.get(state)
@@ -108,7 +114,7 @@
         """What an action came to."""
         self.member_steps.on_action_ended(self.members[action.member], action, result, now)
 
-    def pick_up(self, left: Iterable[Action], now: float) -> None:
+    def recover(self, left: Iterable[Action], now: float) -> None:
         """Go on where a controller that was killed has stopped. `left`: its acts that have no result."""
         self.release.looked, self.release.waiting = -1.0, ""
         for member in self.members.values():
@@ -120,38 +126,42 @@
 
     # Forward.
 
-    def wait_for_answers(self) -> None:
+    def check_baseline(self) -> None:
         """A farm that hardly answers anything can't be judged by."""
         watch, release = self.plan.watch, self.release
         if release.measured > watch.before_s + watch.wait_s:
-            self.end(State.ABANDONED, f"only {release.answers} answers to measure before the release")
+            self.finish(State.ABANDONED, f"only {release.answers} answers to measure before the release")
 
-    def roll(self, snapshot: Snapshot, now: float) -> None:
+    def advance(self, snapshot: Snapshot, now: float) -> None:
         """Send the next members out, or watch the wave, or end."""
         release = self.release
         if release.doubted >= 0:
-            self.wait("one machine was found worse than the rest, and is judged once more", now)
+            self.set_waiting("one machine was found worse than the rest, and is judged once more", now)
             return
-        if self.line.wave_is_out():
-            if self.line.wave() and not self.scales.baked():
-                self.wait(self.scales.starved(), now)
+        if self.wave_members.wave_is_updated():
+            if self.wave_members.current_wave() and not self.evaluation.baked_long_enough():
+                self.set_waiting(self.evaluation.comparison_gap(), now)
                 return
             release.wave, release.baked = release.wave + 1, 0.0
-            if release.wave > self.line.last_wave:
-                self.end(State.DONE, "")
+            if release.wave > self.wave_members.last_wave:
+                self.finish(State.DONE, "")
                 return
-        self.wait(
-            unfit(snapshot, self.plan, release.served) or self.next_out(snapshot, self.plan.to, now), now
+        self.set_waiting(
+            reason_to_wait(snapshot, self.plan, release.served)
+            or self.begin_updates(snapshot, self.plan.to, now),
+            now,
         )
 
-    def next_out(self, snapshot: Snapshot, version: str, now: float) -> str:
+    def begin_updates(self, snapshot: Snapshot, version: str, now: float) -> str:
         """Begin the trips of as many as there is room for; or why not even one, if none is under way."""
         reason = ""
         for member in self.candidates(version):
-            reason = no_room(member, self.members.values(), self.plan, snapshot, version == self.plan.from_)
+            reason = capacity_reason(
+                member, self.members.values(), self.plan, snapshot, version == self.plan.from_
+            )
             if reason:
                 break
-            if member.tries >= MOST_TRIES:
+            if member.tries >= MAX_UPDATE_TRIES:
                 reason = f"{member.id}, {member.tries} times: {member.note or member.fault}"
             elif member.phase is Phase.SERVING and snapshot.cordoned_anywhere(member.id):
                 reason = f"{member.id} is out by somebody else's hand"
@@ -164,77 +174,79 @@
         """Who may set out for a version now, in this order."""
         if version == self.plan.to:
             may = {Phase.SERVING, Phase.DOWN}
-            return [m for m in self.line.wave() if m.version != version and m.phase in may]
+            return [m for m in self.wave_members.current_wave() if m.version != version and m.phase in may]
         # A bad version need not warm up first. Who is out costs no room; of the others the smallest first.
         may = {Phase.SERVING, Phase.WARMING}
         if self.plan.what == "servers":
             may |= {Phase.DOWN, Phase.UNCORDONING}
         back = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
-        back = [m for m in back if m.phase in may and not m.open and not self.stuck(m)]
+        back = [m for m in back if m.phase in may and not m.open and not self.rollback_failed(m)]
         return sorted(back, key=lambda m: (not m.out_of_service, m.phase is Phase.SERVING, m.size, m.id))
 
-    def stuck(self, member: MemberState) -> bool:
+    def rollback_failed(self, member: MemberState) -> bool:
         """It could not be brought back to the version before either."""
         return member.phase is Phase.DOWN and member.target == self.plan.from_
 
-    def wait(self, reason: str, now: float) -> None:
+    def set_waiting(self, reason: str, now: float) -> None:
         """Keep why nothing goes on, and give up when that has lasted too long."""
         release = self.release
         if reason and not release.waiting:
             release.waits_since = now
         release.waiting = reason
         if reason and now - release.waits_since > self.plan.watch.wait_s:
-            self.end(State.ABANDONED, f"waited {self.plan.watch.wait_s:g} s: {reason}")
+            self.finish(State.ABANDONED, f"waited {self.plan.watch.wait_s:g} s: {reason}")
 
     # The way back, and the end.
 
-    def fall(self, why: str, now: float) -> None:
+    def on_bad_version(self, why: str, now: float) -> None:
         """The version is bad."""
         if self.plan.watch.on_bad == "back":
-            self.turn_back(why)
+            self.start_rollback(why)
         else:
-            self.end(State.HALTED, why)
+            self.finish(State.HALTED, why)
 
-    def turn_back(self, why: str) -> None:
+    def start_rollback(self, why: str) -> None:
         self.release.state, self.release.why, self.release.waiting = State.ROLLING_BACK, why, ""
         for member in self.members.values():
             member.fault, member.tries = "", 0
 
-    def go_back(self, snapshot: Snapshot, now: float) -> None:
+    def continue_rollback(self, snapshot: Snapshot, now: float) -> None:
         for member in self.members.values():
             if member.phase is Phase.VERIFYING and member.target == self.plan.to and not member.open:
                 member.enter_phase(Phase.DOWN, now, "the release goes back")  # no need to call it back first
-        wanted = [m for m in self.members.values() if m.phase is not Phase.GONE and not self.stuck(m)]
+        wanted = [
+            m for m in self.members.values() if m.phase is not Phase.GONE and not self.rollback_failed(m)
+        ]
         if all(m.version == self.plan.from_ and m.phase is Phase.SERVING for m in wanted):
-            self.end(State.ROLLED_BACK, self.release.why)
+            self.finish(State.ROLLED_BACK, self.release.why)
             return
-        self.wait(silent(snapshot) or self.next_out(snapshot, self.plan.from_, now), now)
+        self.set_waiting(silent_node(snapshot) or self.begin_updates(snapshot, self.plan.from_, now), now)
 
-    def end(self, state: State, why: str) -> None:
+    def finish(self, state: State, why: str) -> None:
         release = self.release
         release.state, release.why, release.waiting = state, why, ""
 
-    def order(self, order: str) -> str:
+    def apply_order(self, order: str) -> str:
         """What staff want; why not, if it can't be."""
         state = self.release.state
         if order == "pause" and state in ACTIVE_STATES:
             self.release.state = State.PAUSED
         elif order == "resume" and state in (State.PAUSED, State.HALTED, State.ABANDONED):
             if state is not State.PAUSED:  # staff have seen what spoke against it
-                self.scales.anew()
+                self.evaluation.reset()
                 for member in self.members.values():
                     member.fault, member.crashes, member.tries = "", 0, 0
             measured = bool(self.release.pooled)
             self.release.state, self.release.why = State.IN_PROGRESS if measured else State.MEASURING, ""
         elif order == "back" and state not in (State.ROLLING_BACK, State.ROLLED_BACK):
-            self.turn_back("called back by staff")
+            self.start_rollback("called back by staff")
         else:
             return f"the release is {state.value}"
         self.release.waiting = ""
         return ""
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether nothing is left to be done."""
         down = Phase.DOWN if self.plan.what == "servers" else Phase.SERVING
         rest = (Phase.SERVING, Phase.GONE, down)
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -8,16 +8,16 @@
 from flaxstep.rollout.release import State, WaveMembers
 from flaxstep.rollout.snapshot import Snapshot
 
-LEAST_BEFORE = 50  # answers to measure before the release begins
-UNSURE = 2.0  # a stake over this: a wave is watched for up to so many times its time
-MOST_BAKE = 3.0
+MIN_BASELINE_RESPONSES = 50  # answers to measure before the release begins
+SUSPICIOUS_STAKE = 2.0  # a stake over this: a wave is watched for up to so many times its time
+MAX_BAKE_FACTOR = 3.0
 
 
 class WaveEvaluation:
     """Keeps in the release what a controller that comes after needs to go on."""
 
-    def __init__(self, line: WaveMembers) -> None:
-        self.line, self.plan, self.release = line, line.plan, line.release
+    def __init__(self, wave_members: WaveMembers) -> None:
+        self.wave_members, self.plan, self.release = wave_members, wave_members.plan, wave_members.release
         watch, release = self.plan.watch, self.release
         self.evidence = Evidence(self.plan.what, watch.slower, self.plan.room.worths)
         self.analysis = CanaryAnalysis(watch.false_halt, watch.failures)
@@ -28,41 +28,41 @@
         if release.bets:
             self.analysis.load_state(release.bets)
 
-    def anew(self) -> None:
+    def reset(self) -> None:
         """Staff have seen what spoke against the version, and want it judged from here on."""
         self.analysis = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
         self.release.doubted = -1.0
 
-    def look(self, snapshot: Snapshot, passed: float, now: float) -> str:
+    def update(self, snapshot: Snapshot, passed: float, now: float) -> str:
         """Take a look's figures up. Why the version is bad, if it is."""
         release, found = self.release, self.evidence.update(snapshot)
         release.served = self.evidence.served_worth_share()
         if release.state is State.MEASURING:
             release.measured += passed
             release.answers = self.evidence.add_baseline(found)
-            if release.measured >= self.plan.watch.before_s and release.answers >= LEAST_BEFORE:
+            if release.measured >= self.plan.watch.before_s and release.answers >= MIN_BASELINE_RESPONSES:
                 self.evidence.compute_thresholds()
                 release.marks, release.pooled = self.evidence.thresholds, self.evidence.pooled_thresholds
                 release.state = State.IN_PROGRESS
             return ""
-        released = {m.id for m in self.line.all() if m.version == self.plan.to}
-        cold = {m.id for m in self.line.all() if m.phase is not Phase.SERVING}
+        released = {m.id for m in self.wave_members.all_members() if m.version == self.plan.to}
+        cold = {m.id for m in self.wave_members.all_members() if m.phase is not Phase.SERVING}
         seen = list(self.evidence.member_samples(found, released, cold))
-        if 0 <= self.doubted_for(now) < self.plan.watch.doubt_s:
+        if 0 <= self.seconds_since_suspicion(now) < self.plan.watch.doubt_s:
             seen = [line for line in seen if not line.released]  # what met the machine shall pass first
         assessment = self.analysis.update(seen)
         release.stake, release.wanted = assessment.stake, assessment.threshold
-        why = self.heed(assessment, passed, now) if release.state is State.IN_PROGRESS else ""
+        why = self.apply_assessment(assessment, passed, now) if release.state is State.IN_PROGRESS else ""
         release.bets = self.analysis.to_state()
         return why
 
-    def doubted_for(self, now: float) -> float:
+    def seconds_since_suspicion(self, now: float) -> float:
         """s since one machine alone was found bad; negative: none is."""
         return now - self.release.doubted if self.release.doubted >= 0 else -1.0
 
-    def heed(self, assessment: Assessment, passed: float, now: float) -> str:
+    def apply_assessment(self, assessment: Assessment, passed: float, now: float) -> str:
         """What the judgement means for the wave. One machine alone must be found bad twice."""
-        release, watch, doubted = self.release, self.plan.watch, self.doubted_for(now)
+        release, watch, doubted = self.release, self.plan.watch, self.seconds_since_suspicion(now)
         if assessment.finding is Finding.BAD:
             if not self.analysis.single_member or doubted >= 0:
                 return f"worse than the rest: {assessment.reason}"
@@ -72,16 +72,22 @@
             if doubted > watch.doubt_s + watch.bake_s:
                 release.doubted = -1.0
                 self.analysis.end_second_analysis()
-                release.baked = watch.bake_s if self.line.wave_is_out() else 0.0
-        elif self.line.wave_is_out() and (assessment.finding is Finding.GOOD or not self.line.rest()):
+                release.baked = watch.bake_s if self.wave_members.wave_is_updated() else 0.0
+        elif self.wave_members.wave_is_updated() and (
+            assessment.finding is Finding.GOOD or not self.wave_members.has_baseline()
+        ):
             release.baked += passed
         return ""
 
-    def baked(self) -> bool:
+    def baked_long_enough(self) -> bool:
         """Whether the wave was watched for long enough: longer while something speaks against it."""
-        unsure = self.release.stake > UNSURE and self.line.rest()
-        return self.release.baked >= self.plan.watch.bake_s * (MOST_BAKE if unsure else 1.0)
+        unsure = self.release.stake > SUSPICIOUS_STAKE and self.wave_members.has_baseline()
+        return self.release.baked >= self.plan.watch.bake_s * (MAX_BAKE_FACTOR if unsure else 1.0)
 
-    def starved(self) -> str:
+    def comparison_gap(self) -> str:
         """Why nothing can be judged just now; nothing if it can."""
-        return "" if self.analysis.has_baseline or not self.line.rest() else "too few answers to compare with"
+        return (
+            ""
+            if self.analysis.has_baseline or not self.wave_members.has_baseline()
+            else "too few answers to compare with"
+        )
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -13,7 +13,7 @@
 from flaxstep.proxy.metrics import ServerMetrics
 from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.plan import Member, Plan
-from flaxstep.rollout.release import Release, State, line_up
+from flaxstep.rollout.release import Release, State, assign_waves
 from flaxstep.rollout.snapshot import (
     ListedServer,
     NodeView,
@@ -48,9 +48,9 @@
         members = [
             Member(name, str(s.plan.zone), s.plan.cores * s.plan.speed) for name, s in self.servers.items()
         ]
-        self.release, self.standings = Release(), line_up(plan, members)
+        self.release, self.standings = Release(), assign_waves(plan, members)
         doors = {str(node): (str(node),) for node in range(len(world.processes))}
-        self.course = ReleaseStateMachine(plan, self.release, self.standings, doors)
+        self.state_machine = ReleaseStateMachine(plan, self.release, self.standings, doors)
         self.ended_at = float("inf")
         self.most_out = 0
         self.halted_with = 0  # members that had the version when it was found bad
@@ -84,11 +84,11 @@
     def look(self) -> None:
         now = self.world.engine.now / 1000
         rolling = self.release.state is State.IN_PROGRESS
-        actions = self.course.tick(now, self.view(now))
+        actions = self.state_machine.tick(now, self.view(now))
         if rolling and self.release.state is State.ROLLING_BACK:
             self.halted_with = sum(version == self.plan.to for version in self.runs.values())
         self.most_out = max(self.most_out, sum(member.out_of_service for member in self.standings.values()))
-        if self.course.over:
+        if self.state_machine.finished:
             self.ended_at = now
             self.at_over()
             return
@@ -187,4 +187,4 @@
 
     def done(self, action: Action, result: ActionResult) -> None:
         self.standings[action.member].open = 0
-        self.course.on_action_ended(action, result, self.world.engine.now / 1000)
+        self.state_machine.on_action_ended(action, result, self.world.engine.now / 1000)
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -12,7 +12,7 @@
 from flaxstep.rollout.io.controller import LOST
 from flaxstep.rollout.io.store import Store
 from flaxstep.rollout.plan import Member, Plan, parse_plan
-from flaxstep.rollout.release import END_STATES, Release, line_up
+from flaxstep.rollout.release import END_STATES, Release, assign_waves
 from flaxstep.rollout.snapshot import (
     ListedServer,
     NodeView,
@@ -205,13 +205,13 @@
         nodes = {n: (f"{n}a", f"{n}b") for n in self.farm.cordons}
         if kept is None:
             names = nodes if self.plan.what == "nodes" else self.farm.servers
-            members = line_up(self.plan, [Member(name, "z", 1.0) for name in names])
+            members = assign_waves(self.plan, [Member(name, "z", 1.0) for name in names])
             self.number = self.store.begin(self.plan, Release(), members)
             kept = self.store.newest()
         assert kept is not None
         self.number, self.release, self.members = kept.id, kept.release, kept.members
-        self.course = ReleaseStateMachine(kept.plan, kept.release, kept.members, nodes)
-        self.course.pick_up(kept.left.values(), self.farm.now)
+        self.state_machine = ReleaseStateMachine(kept.plan, kept.release, kept.members, nodes)
+        self.state_machine.recover(kept.left.values(), self.farm.now)
         for number in kept.left:
             self.store.record(self.number, self.release, self.members, number, LOST)
 
@@ -224,7 +224,7 @@
         """One look and what follows from it; a controller that is killed starts again."""
         self.farm.pass_second()
         try:
-            actions = self.course.tick(self.farm.now, self.farm.look())
+            actions = self.state_machine.tick(self.farm.now, self.farm.look())
             changing = any(action.kind in MUTATING_ACTIONS for action in actions)
             if changing:
                 self.point()
@@ -236,7 +236,7 @@
                 if number:
                     self.point()
                 self.members[action.member].open = 0
-                self.course.on_action_ended(action, result, self.farm.now)
+                self.state_machine.on_action_ended(action, result, self.farm.now)
                 self.store.record(self.number, self.release, self.members, number, result)
         except Killed:
             self.store.leave_claim()  # as if its lease had run out
@@ -246,11 +246,11 @@
     def run(self, seconds: int = 900) -> Release:
         """Until the release is over."""
         for _ in range(seconds):
-            if self.course.over:
+            if self.state_machine.finished:
                 break
             self.second()
         return self.release
 
     @property
     def ended(self) -> bool:
-        return self.release.state in END_STATES and self.course.over
+        return self.release.state in END_STATES and self.state_machine.finished
--- a/tests/test_release_course.py
+++ b/tests/test_release_course.py
@@ -113,7 +113,7 @@
     farm = FakeFarm()
     run = Run(farm, plan(), tmp_path / "state")
     forgot = 0
-    while not run.course.over:
+    while not run.state_machine.finished:
         run.second()
         for member in run.members.values():
             if member.phase.value.startswith("out, waiting") and forgot < 3:
@@ -137,14 +137,17 @@
     run = Run(farm, plan(), tmp_path / "state")
     while not any(server.version == "v2" for server in farm.servers.values()):
         run.second()
-    assert run.course.order("pause") == "" and run.course.order("pause") == "the release is paused"
+    assert (
+        run.state_machine.apply_order("pause") == ""
+        and run.state_machine.apply_order("pause") == "the release is paused"
+    )
     for _ in range(40):
         run.second()
     assert at_rest(farm) and sum(s.version == "v2" for s in farm.servers.values()) == 1
-    assert run.course.order("resume") == ""
+    assert run.state_machine.apply_order("resume") == ""
     for _ in range(10):
         run.second()
-    assert run.course.order("back") == ""
+    assert run.state_machine.apply_order("back") == ""
     assert run.run().state is State.ROLLED_BACK and versions(farm, "servers") == {"v1"} and at_rest(farm)
 
 
@@ -177,7 +180,7 @@
     chance, farm = random.Random(seed), FakeFarm(seed=seed)
     run = Run(farm, plan(), tmp_path / "state")
     run.kill_at = {chance.randint(1, 60) for _ in range(8)}
-    while not run.course.over and farm.now < 900:
+    while not run.state_machine.finished and farm.now < 900:
         farm.silent = {"n1"} if chance.random() < 0.05 else set()
         run.second()
     assert run.ended and at_rest(farm) and farm.most_out <= 1
