--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -19,7 +19,7 @@
 import msgspec
 import numpy as np
 
-from flaxstep.rollout.plan import Commands, Plan, Room, Watch, Waves
+from flaxstep.rollout.plan import CapacityLimits, Commands, Plan, Watch, Waves
 from flaxstep.rollout.release import END_STATES, State
 from flaxstep.simulator.engine import Streams
 from flaxstep.simulator.fault_config import Figures
@@ -47,7 +47,7 @@
         to="v2",
         commands=Commands(restart=("restart", "{id}", "{version}")),
         waves=Waves(shares=(0.3, 1.0)),
-        room=Room(out_at_once=out_at_once, capacity=0.6),
+        room=CapacityLimits(out_at_once=out_at_once, capacity=0.6),
         watch=Watch(warm_s=24.0),
     )
 
--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -23,7 +23,7 @@
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot
 from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
 from flaxstep.rollout.limits import reason_to_wait
-from flaxstep.rollout.plan import Plan, PlanError, at_once, read_plan, waves
+from flaxstep.rollout.plan import Plan, PlanError, max_out_at_once, read_plan, split_into_waves
 from flaxstep.rollout.release import State
 
 STOPPED = 130
@@ -97,8 +97,8 @@
     snapshot = await collect_snapshot(farm, clock())
     whole = sum(member.size for member in members)
     lines, reasons = [], [reason] if (reason := reason_to_wait(snapshot, plan, None)) else []
-    for number, wave in enumerate(waves(plan, members), 1):
-        count = at_once(plan, wave, members) if plan.what == "servers" else plan.room.out_at_once
+    for number, wave in enumerate(split_into_waves(plan, members), 1):
+        count = max_out_at_once(plan, wave, members) if plan.what == "servers" else plan.room.out_at_once
         largest = sorted((member.size for member in wave.members), reverse=True)[: max(count, 1)]
         left = 1 - sum(largest) / whole if plan.what == "servers" else 1.0
         if not count:
--- a/flaxstep/rollout/farm.py
+++ b/flaxstep/rollout/farm.py
@@ -15,14 +15,14 @@
 from flaxstep.rollout.config_decoding import convert_all
 from flaxstep.rollout.plan import PlanError, Text
 
-Place = Annotated[str, Meta(pattern=r"^[0-9a-zA-Z._-]+:[0-9]{1,5}$")]
+HostPort = Annotated[str, Meta(pattern=r"^[0-9a-zA-Z._-]+:[0-9]{1,5}$")]
 
 
-class NodeLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class NodeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A node. Its first process has its door at the first of `doors`, a successor at another of them."""
 
     name: Text
-    doors: Annotated[tuple[Place, ...], Meta(min_length=1, max_length=8)]
+    doors: Annotated[tuple[HostPort, ...], Meta(min_length=1, max_length=8)]
     zone: Text = "-"
 
 
@@ -30,9 +30,9 @@
     """`state` is a path, from the farm file's folder: all controllers of the farm share that file."""
 
     name: Text
-    discovery: Place
+    discovery: HostPort
     state: Text
-    nodes: Annotated[tuple[NodeLine, ...], Meta(min_length=1, max_length=10_000)]
+    nodes: Annotated[tuple[NodeConfig, ...], Meta(min_length=1, max_length=10_000)]
 
 
 def read_farm(path: Path) -> Farm:
@@ -47,13 +47,13 @@
         raise PlanError([f"not TOML: {error}"]) from None
     farm, faults = convert_all(raw, Farm)
     if farm is not None:
-        faults += repeated(farm)
+        faults += repeated_entries(farm)
     if faults or farm is None:
         raise PlanError(faults)
     return msgspec.structs.replace(farm, state=str((path.parent / farm.state).resolve()))
 
 
-def repeated(farm: Farm) -> Iterator[str]:
+def repeated_entries(farm: Farm) -> Iterator[str]:
     names = Counter(node.name for node in farm.nodes)
     doors = Counter(door for node in farm.nodes for door in node.doors)
     for what, counts in (("node", names), ("door", doors)):
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -11,7 +11,7 @@
 from flaxstep.rollout.farm import Farm
 from flaxstep.rollout.io.child_processes import end_with
 from flaxstep.rollout.io.http_client import text
-from flaxstep.rollout.plan import Plan, command
+from flaxstep.rollout.plan import Plan, command_line
 from flaxstep.rollout.snapshot import Snapshot
 
 OUTPUT = 64 << 10  # bytes of a command's output that are kept
@@ -39,7 +39,7 @@
         }[action.kind]
         assert words is not None, "the plan has the commands that its steps ask for"
         return await run(
-            command(words, action.member, action.version, action.admin_address), commands.time_limit_s
+            command_line(words, action.member, action.version, action.admin_address), commands.time_limit_s
         )
 
     async def everywhere(self, what: str, server: str) -> ActionResult:
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import Any
 
-from flaxstep.rollout.farm import Farm, NodeLine
+from flaxstep.rollout.farm import Farm, NodeConfig
 from flaxstep.rollout.io.http_client import CallError, call, text
 from flaxstep.rollout.snapshot import (
     ListedServer,
@@ -31,7 +31,7 @@
     return Snapshot(at, {node.name: node for node in nodes}, listed)
 
 
-async def look_at_node(node: NodeLine) -> NodeView:
+async def look_at_node(node: NodeConfig) -> NodeView:
     found = await asyncio.gather(*(look_at_door(door) for door in node.doors))
     processes = tuple(process for process in found if isinstance(process, ProcessView))
     silent = [why for why in found if isinstance(why, str)]
--- a/flaxstep/rollout/plan.py
+++ b/flaxstep/rollout/plan.py
@@ -20,13 +20,13 @@
 from flaxstep.rollout.config_decoding import convert_all
 
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
-Part = Annotated[float, Meta(gt=0, le=1)]
+PositiveShare = Annotated[float, Meta(gt=0, le=1)]
 Count = Annotated[int, Meta(ge=1, le=10_000)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-Limit = Annotated[float, Meta(gt=0, le=86_400)]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
-Words = Annotated[tuple[Text, ...], Meta(min_length=1, max_length=100)]
-FIELDS = {"id", "version", "door"}
+Arguments = Annotated[tuple[Text, ...], Meta(min_length=1, max_length=100)]
+PLACEHOLDERS = {"id", "version", "door"}
 
 
 class PlanError(Exception):
@@ -41,15 +41,17 @@
     """One canary first, then shares of all that is released, each wave within one zone at a time."""
 
     canary: Count = 1
-    shares: Annotated[tuple[Part, ...], Meta(min_length=1, max_length=100)] = (0.25, 1.0)
+    shares: Annotated[tuple[PositiveShare, ...], Meta(min_length=1, max_length=100)] = (0.25, 1.0)
     zones: tuple[Text, ...] = ()  # their order; empty: as the farm lists them
 
 
-class Room(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class CapacityLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What must stay while some are out."""
 
     out_at_once: Count = 1
-    capacity: Part = 0.8  # of what the fleet can do, by size, that must not be out or cold at any time
+    capacity: PositiveShare = (
+        0.8  # of what the fleet can do, by size, that must not be out or cold at any time
+    )
     worth: Share = 0.9  # of what is asked for that must be served; below it nothing new goes out
     halt_worth: Share = 0.5  # below it for half a minute the release has failed
     worths: dict[str, Annotated[float, Meta(ge=0)]] = {}  # of a request, by class; 1 for those not named
@@ -58,15 +60,17 @@
 class Watch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How long, and how it is judged."""
 
-    before_s: Limit = (
+    before_s: PositiveSeconds = (
         120.0  # in which members' usual answers are measured; in 20 s by a twelfth too high or low
     )
     warm_s: Seconds = 25.0  # that a member needs from its return until it does its full share
     bake_s: Seconds = 60.0  # after each wave, once its servers are warm
     doubt_s: Seconds = 40.0  # after which a canary found bad is judged once more: machines have bad spells
     look_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0  # from one look at the farm to the next
-    empty_s: Limit = 30.0  # for what is in flight at one that was taken out
-    wait_s: Limit = 600.0  # for a farm that is not fit to go on; then the release gives up, in a safe state
+    empty_s: PositiveSeconds = 30.0  # for what is in flight at one that was taken out
+    wait_s: PositiveSeconds = (
+        600.0  # for a farm that is not fit to go on; then the release gives up, in a safe state
+    )
     false_halt: Annotated[float, Meta(gt=0, le=0.2)] = (
         0.01  # chance over the whole release, for a good version
     )
@@ -83,12 +87,12 @@
     what a member runs; `check` tries a member out and ends with 0 if what it answers is right.
     """
 
-    restart: Words
-    stop: Words | None = None
-    version: Words | None = None
-    check: Words | None = None
-    time_limit_s: Limit = 60.0  # of each
-    ready_s: Limit = 60.0  # from a restart until it answers and is listed
+    restart: Arguments
+    stop: Arguments | None = None
+    version: Arguments | None = None
+    check: Arguments | None = None
+    time_limit_s: PositiveSeconds = 60.0  # of each
+    ready_s: PositiveSeconds = 60.0  # from a restart until it answers and is listed
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -100,7 +104,7 @@
     to: Text
     commands: Commands
     waves: Waves = Waves()
-    room: Room = Room()
+    room: CapacityLimits = CapacityLimits()
     watch: Watch = Watch()
 
 
@@ -137,18 +141,18 @@
     except tomllib.TOMLDecodeError as error:
         raise PlanError([f"not TOML: {error}"]) from None
     plan, faults = convert_all(raw, Plan)
-    faults += meaning(raw)
+    faults += semantic_faults(raw)
     if faults or plan is None:
         raise PlanError(faults)
     return plan
 
 
-def meaning(raw: dict[str, object]) -> list[str]:
+def semantic_faults(raw: dict[str, object]) -> list[str]:
     """What the types can't say, as far as the values are there to be looked at."""
     return [*same_version(raw), *rising_shares(raw), *repeated_zones(raw), *unknown_fields(raw)]
 
 
-def table(raw: dict[str, object], name: str) -> dict[str, object]:
+def subtable(raw: dict[str, object], name: str) -> dict[str, object]:
     found = raw.get(name)
     return found if isinstance(found, dict) else {}
 
@@ -159,7 +163,7 @@
 
 
 def rising_shares(raw: dict[str, object]) -> Iterator[str]:
-    shares = table(raw, "waves").get("shares")
+    shares = subtable(raw, "waves").get("shares")
     if not isinstance(shares, list) or not shares or not all(isinstance(s, int | float) for s in shares):
         return
     if any(late <= early for early, late in zip(shares, shares[1:], strict=False)):
@@ -169,18 +173,18 @@
 
 
 def repeated_zones(raw: dict[str, object]) -> Iterator[str]:
-    zones = table(raw, "waves").get("zones")
+    zones = subtable(raw, "waves").get("zones")
     if isinstance(zones, list) and len(set(map(str, zones))) < len(zones):
         yield "waves.zones: a zone is named twice"
 
 
 def unknown_fields(raw: dict[str, object]) -> Iterator[str]:
-    fields = FIELDS if raw.get("what") == "nodes" else FIELDS - {"door"}
+    fields = PLACEHOLDERS if raw.get("what") == "nodes" else PLACEHOLDERS - {"door"}
     for name in ("restart", "stop", "version", "check"):
-        words = table(raw, "commands").get(name)
+        words = subtable(raw, "commands").get(name)
         if isinstance(words, list) and all(isinstance(word, str) for word in words):
             yield from command_faults(f"commands.{name}", words, fields)
-    if raw.get("what") == "nodes" and "stop" not in table(raw, "commands"):
+    if raw.get("what") == "nodes" and "stop" not in subtable(raw, "commands"):
         yield "commands.stop: is missing; the process before must be told to end"
 
 
@@ -199,7 +203,7 @@
         yield f"{key}: no {{id}}: the same command for every process"
 
 
-def waves(plan: Plan, members: Sequence[Member]) -> list[Wave]:
+def split_into_waves(plan: Plan, members: Sequence[Member]) -> list[Wave]:
     """The canaries, then each share's members; a wave that meets several zones is one wave for each of them.
 
     Zones come in the plan's order, those that it doesn't name after them. Within a zone the smallest goes
@@ -221,7 +225,7 @@
     return made
 
 
-def at_once(plan: Plan, wave: Wave, members: Sequence[Member]) -> int:
+def max_out_at_once(plan: Plan, wave: Wave, members: Sequence[Member]) -> int:
     """How many of a wave may be out together so that enough capacity stays; 0: not even one."""
     whole = sum(member.size for member in members)
     spare, count = whole * (1 - plan.room.capacity) + 1e-9, 0
@@ -233,6 +237,6 @@
     return min(count, plan.room.out_at_once)
 
 
-def command(words: Sequence[str], member: str, version: str, door: str = "") -> list[str]:
+def command_line(words: Sequence[str], member: str, version: str, door: str = "") -> list[str]:
     """The argument list of a command for a member."""
     return [word.format(id=member, version=version, door=door) for word in words]
--- a/flaxstep/rollout/release.py
+++ b/flaxstep/rollout/release.py
@@ -9,7 +9,7 @@
 
 from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.evidence import SlowThreshold
-from flaxstep.rollout.plan import Member, Plan, waves
+from flaxstep.rollout.plan import Member, Plan, split_into_waves
 
 
 class State(Enum):
@@ -78,6 +78,6 @@
     """The members of a plan's waves, each with its wave."""
     return {
         member.id: MemberState(member.id, member.zone, member.size, plan.from_, wave=number)
-        for number, wave in enumerate(waves(plan, members))
+        for number, wave in enumerate(split_into_waves(plan, members))
         for member in wave.members
     }
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from flaxstep.rollout.farm import Farm, NodeLine
+from flaxstep.rollout.farm import Farm, NodeConfig
 from flaxstep.rollout.io import http_client
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot
 from flaxstep.rollout.snapshot import Snapshot
@@ -43,7 +43,7 @@
     server = await asyncio.start_server(take, "127.0.0.1", 0)
     place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with server:
-        return await collect_snapshot(Farm("farm", place, "state", (NodeLine("n0", (place,)),)), 3.0)
+        return await collect_snapshot(Farm("farm", place, "state", (NodeConfig("n0", (place,)),)), 3.0)
 
 
 def test_a_look_shows_what_doors_and_list_say() -> None:
--- a/tests/test_release_plan.py
+++ b/tests/test_release_plan.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from flaxstep.rollout.plan import (
+    CapacityLimits,
     Member,
     Plan,
     PlanError,
-    Room,
     Waves,
-    at_once,
-    command,
+    command_line,
+    max_out_at_once,
     parse_plan,
     read_plan,
-    waves,
+    split_into_waves,
 )
 
 GOOD = """
@@ -43,8 +43,8 @@
 
 def test_a_good_plan_is_read_and_makes_its_commands() -> None:
     plan = parse_plan(GOOD)
-    assert (plan.from_, plan.to, plan.room, plan.waves.canary) == ("v1", "v2", Room(), 2)
-    assert command(plan.commands.restart, "s-1", "v2") == ["restart-server", "--id=s-1", "v2"]
+    assert (plan.from_, plan.to, plan.room, plan.waves.canary) == ("v1", "v2", CapacityLimits(), 2)
+    assert command_line(plan.commands.restart, "s-1", "v2") == ["restart-server", "--id=s-1", "v2"]
 
 
 def test_every_fault_is_told_at_once_with_its_key() -> None:
@@ -118,8 +118,8 @@
 ) -> None:
     plan = parse_plan(GOOD.replace('zones = ["b", "a"]', ""))
     wanted = Waves(canary=canary, shares=(*sorted(shares), 1.0))
-    plan = Plan(plan.name, plan.what, plan.from_, plan.to, plan.commands, wanted, Room(3, capacity))
-    made = waves(plan, farm)
+    plan = Plan(plan.name, plan.what, plan.from_, plan.to, plan.commands, wanted, CapacityLimits(3, capacity))
+    made = split_into_waves(plan, farm)
     assert sorted(m.id for wave in made for m in wave.members) == sorted(m.id for m in farm)
     assert all({member.zone for member in wave.members} == {wave.zone} for wave in made)
     zones = [wave.zone for wave in made]
@@ -129,14 +129,16 @@
     assert len(made[0].members) <= canary
     whole = sum(member.size for member in farm)
     for wave in made:
-        most = sorted((member.size for member in wave.members), reverse=True)[: at_once(plan, wave, farm)]
+        most = sorted((member.size for member in wave.members), reverse=True)[
+            : max_out_at_once(plan, wave, farm)
+        ]
         assert sum(most) <= whole * (1 - capacity) + 1e-6 and len(most) <= 3
 
 
 def test_the_plan_s_zones_come_first_in_its_order_and_must_be_there() -> None:
     farm = [Member(f"{zone}{i}", zone, 1.0 + i) for zone in "abc" for i in range(2)]
-    order = list(dict.fromkeys(wave.zone for wave in waves(parse_plan(GOOD), farm)))
+    order = list(dict.fromkeys(wave.zone for wave in split_into_waves(parse_plan(GOOD), farm)))
     assert order == ["b", "a", "c"]
-    assert waves(parse_plan(GOOD), farm)[0].members == (farm[2], farm[3])
+    assert split_into_waves(parse_plan(GOOD), farm)[0].members == (farm[2], farm[3])
     with pytest.raises(PlanError, match="nobody is in b"):
-        waves(parse_plan(GOOD), [member for member in farm if member.zone != "b"])
+        split_into_waves(parse_plan(GOOD), [member for member in farm if member.zone != "b"])
