--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -19,9 +19,9 @@
 from flaxstep.command_error import CommandError
 from flaxstep.rollout.actions import Phase
 from flaxstep.rollout.farm import Farm, read_farm
-from flaxstep.rollout.io.controller import Controller, members_of, open_release
+from flaxstep.rollout.io.controller import Controller, plan_members, resume_or_create_release
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot
-from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
+from flaxstep.rollout.io.store import ClaimLost, Store, StoredRelease, StoreError, boot_clock_s
 from flaxstep.rollout.limits import reason_to_wait
 from flaxstep.rollout.plan import Plan, PlanError, max_out_at_once, read_plan, split_into_waves
 from flaxstep.rollout.release import State
@@ -93,8 +93,8 @@
 
 
 async def survey(farm: Farm, plan: Plan) -> Survey:
-    members = await members_of(farm, plan)
-    snapshot = await collect_snapshot(farm, clock())
+    members = await plan_members(farm, plan)
+    snapshot = await collect_snapshot(farm, boot_clock_s())
     whole = sum(member.size for member in members)
     lines, reasons = [], [reason] if (reason := reason_to_wait(snapshot, plan, None)) else []
     for number, wave in enumerate(split_into_waves(plan, members), 1):
@@ -140,7 +140,7 @@
             watch = msgspec.structs.replace(plan.watch, on_bad=on_bad)
             plan = msgspec.structs.replace(plan, watch=watch)
         store = Store(Path(farm.state))
-        store.take_claim()
+        store.acquire_claim()
         kept = None
         try:
             kept = asyncio.run(carry_out(farm, store, plan, say))
@@ -149,7 +149,7 @@
         except (KeyboardInterrupt, asyncio.CancelledError):
             click.echo("flaxstep: ended; 'release run' goes on from here", err=True)
         finally:
-            store.leave_claim()
+            store.release_claim()
             store.close()
     if kept is None:
         sys.exit(STOPPED)
@@ -161,18 +161,18 @@
     click.echo(f"{time.strftime('%H:%M:%S')} {line}")
 
 
-async def carry_out(farm: Farm, store: Store, plan: Plan, tell: Callable[[str], None]) -> Kept:
+async def carry_out(farm: Farm, store: Store, plan: Plan, tell: Callable[[str], None]) -> StoredRelease:
     this = asyncio.current_task()
     assert this is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, this.cancel)
-    kept = await open_release(farm, store, plan)
+    kept = await resume_or_create_release(farm, store, plan)
     controller = Controller(farm, store, kept, tell)
     controller.recover()
     await controller.run()
     return kept
 
 
-def show_end(kept: Kept) -> None:
+def show_end(kept: StoredRelease) -> None:
     why = f": {kept.release.why}" if kept.release.why else ""
     click.echo(f"release {kept.id}, {kept.plan.name}: {kept.release.state.value}{why}")
     for member in kept.members.values():
@@ -180,9 +180,9 @@
             click.echo(f"{member.id} is {member.phase.value}: {member.note}")
 
 
-def newest(farm_path: Path) -> tuple[Store, Kept]:
+def newest(farm_path: Path) -> tuple[Store, StoredRelease]:
     store = Store(Path(read_farm(farm_path).state), must_exist=True)
-    kept = store.newest()
+    kept = store.newest_release()
     if kept is None:
         raise StoreError(f"{store.path}: no release has been started on this farm")
     return store, kept
@@ -286,11 +286,11 @@
         try:
             if kept.ended is not None:
                 raise CommandError(f"release {kept.id} is over: {kept.release.state.value}")
-            number, end = store.leave_order(kept.id, what), time.monotonic() + ORDER_TIME
+            number, end = store.add_order(kept.id, what), time.monotonic() + ORDER_TIME
             if not store.holder():
                 click.echo(f"{what}: kept; no controller runs, 'flaxstep release run' carries it out")
                 return
-            while (said := store.order_answer(number)) is None and time.monotonic() < end:
+            while (said := store.order_result(number)) is None and time.monotonic() < end:
                 time.sleep(0.1)
         finally:
             store.close()
@@ -333,9 +333,9 @@
                 raise CommandError(
                     f"release {kept.id} is {kept.release.state.value}: pause it, or call it back"
                 )
-            store.take_claim()
-            store.end(kept.id, kept.release, kept.members)
-            store.leave_claim()
+            store.acquire_claim()
+            store.close_release(kept.id, kept.release, kept.members)
+            store.release_claim()
         finally:
             store.close()
     click.echo(f"release {kept.id}: closed")
--- a/flaxstep/faultbench/child_process.py
+++ b/flaxstep/faultbench/child_process.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from flaxstep.faultbench.fake_service import FaultBenchError
-from flaxstep.rollout.io.child_processes import end_with
+from flaxstep.rollout.io.child_processes import kill_with_parent
 
 ROOT = Path(__file__).resolve().parents[2]
 READY_TIME, CALL_TIME = 20.0, 10.0  # s
@@ -41,7 +41,7 @@
                 stdout=asyncio.subprocess.PIPE,
                 stderr=errors,
                 start_new_session=True,
-                preexec_fn=lambda: end_with(parent),
+                preexec_fn=lambda: kill_with_parent(parent),
                 limit=1 << 24,
             )
         return cls(name, process)
--- a/flaxstep/faultbench/operators.py
+++ b/flaxstep/faultbench/operators.py
@@ -19,7 +19,7 @@
 from flaxstep.faultbench.fake_service import FaultBenchError, loopback
 from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import Happened
-from flaxstep.rollout.io.http_client import text
+from flaxstep.rollout.io.http_client import call_text
 
 PORT = 1998
 CALLS = re.compile(r"^(\S+ \S+) INFO (s-\d+) is (out|back)$", re.MULTILINE)
@@ -147,7 +147,7 @@
 
     async def check(self, name: str) -> str:
         host, port = self.stage.ways.servers[int(name.removeprefix("s-"))]
-        status, answer = await text(f"{host}:{port}", "GET", "/selftest")
+        status, answer = await call_text(f"{host}:{port}", "GET", "/selftest")
         if (status, answer) != (200, "42"):
             raise FaultBenchError(f"{answer} is not 42")
         return answer
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -11,35 +11,35 @@
 from flaxstep.rollout.actions import Action, ActionKind, ActionResult, MemberState
 from flaxstep.rollout.farm import Farm
 from flaxstep.rollout.io.executor import Executor
-from flaxstep.rollout.io.snapshot_collector import collect_snapshot, look_at_list
-from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
+from flaxstep.rollout.io.snapshot_collector import collect_snapshot, fetch_server_list
+from flaxstep.rollout.io.store import ClaimLost, Store, StoredRelease, StoreError, boot_clock_s
 from flaxstep.rollout.plan import Member, Plan, PlanError
 from flaxstep.rollout.release import END_STATES, Release, State, assign_waves
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
-ASKED_AT_ONCE = 8  # commands
-LOST = ActionResult(False, "its result was lost with the controller", outcome_known=False)
-Tell = Callable[[str], None]
+MAX_PARALLEL_VERSION_QUERIES = 8  # commands
+RESULT_LOST = ActionResult(False, "its result was lost with the controller", outcome_known=False)
+LineReporter = Callable[[str], None]
 
 
 class Controller:
     """`tell` gets one line for each thing that happens."""
 
-    def __init__(self, farm: Farm, store: Store, kept: Kept, tell: Tell) -> None:
-        self.farm, self.store, self.kept, self.tell = farm, store, kept, tell
+    def __init__(self, farm: Farm, store: Store, kept: StoredRelease, report_line: LineReporter) -> None:
+        self.farm, self.store, self.kept, self.report_line = farm, store, kept, report_line
         doors = {node.name: node.doors for node in farm.nodes}
         self.state_machine = ReleaseStateMachine(kept.plan, kept.release, kept.members, doors)
-        self.hands = Executor(farm, kept.plan)
-        self.told: tuple[State, str, int] | None = None
-        self.told_phases = {member.id: member.phase for member in kept.members.values()}
+        self.executor = Executor(farm, kept.plan)
+        self.reported_state: tuple[State, str, int] | None = None
+        self.reported_phases = {member.id: member.phase for member in kept.members.values()}
 
     def recover(self) -> None:
         """What a controller that was killed has left: every action without a result."""
-        self.state_machine.recover(self.kept.left.values(), clock())
-        for number, action in self.kept.left.items():
-            self.tell(f"{action.kind.value} {action.member}: {LOST.text}")
-            self.store.record(self.kept.id, self.kept.release, self.kept.members, number, LOST)
-        self.kept.left.clear()
+        self.state_machine.recover(self.kept.unfinished_actions.values(), boot_clock_s())
+        for number, action in self.kept.unfinished_actions.items():
+            self.report_line(f"{action.kind.value} {action.member}: {RESULT_LOST.text}")
+            self.store.write_result(self.kept.id, self.kept.release, self.kept.members, number, RESULT_LOST)
+        self.kept.unfinished_actions.clear()
 
     async def run(self) -> None:
         """Until the release is over; ClaimLost if another controller has taken the farm over.
@@ -50,10 +50,10 @@
         watch = self.kept.plan.watch
         try:
             async with asyncio.TaskGroup() as tasks:
-                self.take_orders()
+                self.apply_orders()
                 while not self.state_machine.finished:
                     begun = time.monotonic()
-                    await self.look_once(tasks)
+                    await self.run_cycle(tasks)
                     ended_at = (ended_at or begun) if self.kept.release.state in END_STATES else None
                     if ended_at is not None and begun - ended_at > watch.wait_s:
                         break
@@ -61,66 +61,66 @@
         except ExceptionGroup as group:
             raise group.exceptions[0] from None
         if self.kept.release.state in (State.DONE, State.ROLLED_BACK) and self.state_machine.finished:
-            self.store.end(self.kept.id, self.kept.release, self.kept.members)
+            self.store.close_release(self.kept.id, self.kept.release, self.kept.members)
 
-    def take_orders(self) -> None:
+    def apply_orders(self) -> None:
         with self.store.transaction():
-            for number, what in self.store.orders(self.kept.id):
+            for number, what in self.store.pending_orders(self.kept.id):
                 said = self.state_machine.apply_order(what)
-                self.store.answer_order(number, said)
-                self.tell(f"{what}, called by staff{': no, ' if said else ''}{said}")
+                self.store.record_order_result(number, said)
+                self.report_line(f"{what}, called by staff{': no, ' if said else ''}{said}")
             self.store.save(self.kept.id, self.kept.release, self.kept.members)
 
-    async def look_once(self, tasks: asyncio.TaskGroup) -> None:
-        snapshot = await collect_snapshot(self.farm, clock())
-        self.hands.snapshot = snapshot
-        if self.store.orders(self.kept.id):
-            self.take_orders()
-        actions = self.state_machine.tick(clock(), snapshot)
-        ids = self.store.intend(self.kept.id, self.kept.release, self.kept.members, actions)
-        self.report()
+    async def run_cycle(self, tasks: asyncio.TaskGroup) -> None:
+        snapshot = await collect_snapshot(self.farm, boot_clock_s())
+        self.executor.snapshot = snapshot
+        if self.store.pending_orders(self.kept.id):
+            self.apply_orders()
+        actions = self.state_machine.tick(boot_clock_s(), snapshot)
+        ids = self.store.write_intents(self.kept.id, self.kept.release, self.kept.members, actions)
+        self.report_changes()
         for number, action in zip(ids, actions, strict=True):
             self.kept.members[action.member].open = (
                 number or -1
             )  # reads have no line, and are out all the same
-            tasks.create_task(self.perform(number, action))
+            tasks.create_task(self.perform_action(number, action))
 
-    async def perform(self, number: int, action: Action) -> None:
-        if not self.store.holds():
+    async def perform_action(self, number: int, action: Action) -> None:
+        if not self.store.holds_claim():
             raise ClaimLost(f"{self.store.path}: another controller has taken this farm over")
-        result = await self.hands.do(action)
+        result = await self.executor.perform(action)
         self.kept.members[action.member].open = 0
-        self.state_machine.on_action_ended(action, result, clock())
+        self.state_machine.on_action_ended(action, result, boot_clock_s())
         if number:
             word = "yes" if result.ok else "no"
-            self.tell(
+            self.report_line(
                 f"{action.kind.value} {action.member}: {word}{f', {result.text}' if result.text else ''}"
             )
-        self.store.record(self.kept.id, self.kept.release, self.kept.members, number, result)
+        self.store.write_result(self.kept.id, self.kept.release, self.kept.members, number, result)
 
-    def report(self) -> None:
-        """Tell what is new of the release and its members."""
+    def report_changes(self) -> None:
+        """Report what is new of the release and its members."""
         release = self.kept.release
         for member in self.kept.members.values():
-            if self.told_phases.get(member.id) is not member.phase:
-                self.told_phases[member.id] = member.phase
+            if self.reported_phases.get(member.id) is not member.phase:
+                self.reported_phases[member.id] = member.phase
                 note = f" ({member.note})" if member.note else ""
-                self.tell(f"{member.id}: {member.phase.value}, {member.version}{note}")
+                self.report_line(f"{member.id}: {member.phase.value}, {member.version}{note}")
         now = release.state, release.waiting or release.why, release.wave
-        if self.told != now:
-            self.told = now
+        if self.reported_state != now:
+            self.reported_state = now
             why = f": {now[1]}" if now[1] else ""
-            self.tell(f"wave {release.wave + 1}, {release.state.value}{why}")
+            self.report_line(f"wave {release.wave + 1}, {release.state.value}{why}")
 
 
-async def members_of(farm: Farm, plan: Plan) -> list[Member]:
+async def plan_members(farm: Farm, plan: Plan) -> list[Member]:
     """Who a plan is about, as the farm stands; PlanError if that can't be known."""
     if plan.what == "nodes":
         short = [node.name for node in farm.nodes if len(node.doors) < 2]
         if short:
             raise PlanError([f"nodes: {name} has one door; a successor needs another" for name in short])
         return [Member(node.name, node.zone, 1.0) for node in farm.nodes]
-    listed = await look_at_list(farm.discovery)
+    listed = await fetch_server_list(farm.discovery)
     if listed is None:
         raise PlanError([f"discovery: the list service at {farm.discovery} does not answer"])
     lines = [line for line in listed.values() if line.lifecycle == "active"]
@@ -129,33 +129,35 @@
     return [Member(line.id, line.zone, line.size) for line in lines]
 
 
-async def open_release(farm: Farm, store: Store, plan: Plan) -> Kept:
+async def resume_or_create_release(farm: Farm, store: Store, plan: Plan) -> StoredRelease:
     """The open release of this plan, or a new one; StoreError if another plan's is open."""
-    found = store.newest()
+    found = store.newest_release()
     if found is not None and found.ended is None:
         watch = msgspec.structs.replace(found.plan.watch, on_bad=plan.watch.on_bad)
         if msgspec.structs.replace(found.plan, watch=watch) != plan:
             raise StoreError(f"release {found.id}, {found.plan.name}, is not over; it must be ended first")
         found.plan = plan  # staff may think otherwise of 'on_bad' by now
         return found
-    members = assign_waves(plan, await members_of(farm, plan))
-    await ask_versions(farm, plan, members)
+    members = assign_waves(plan, await plan_members(farm, plan))
+    await query_versions(farm, plan, members)
     release = Release()
-    number = store.begin(plan, release, members)
-    return Kept(number, plan, release, members, {}, time.time(), None)
+    number = store.create_release(plan, release, members)
+    return StoredRelease(number, plan, release, members, {}, time.time(), None)
 
 
-async def ask_versions(farm: Farm, plan: Plan, members: dict[str, MemberState]) -> None:
+async def query_versions(farm: Farm, plan: Plan, members: dict[str, MemberState]) -> None:
     """Who runs the new version already, where the plan can ask; PlanError if that leaves nothing to do."""
     if plan.commands.version is None:
         return
-    hands, room = Executor(farm, plan), asyncio.Semaphore(ASKED_AT_ONCE)
-    nodes = (await collect_snapshot(farm, clock())).nodes if plan.what == "nodes" else {}
+    executor, room = Executor(farm, plan), asyncio.Semaphore(MAX_PARALLEL_VERSION_QUERIES)
+    nodes = (await collect_snapshot(farm, boot_clock_s())).nodes if plan.what == "nodes" else {}
     doors = {name: node.processes[0].admin_address for name, node in nodes.items() if node.processes}
 
     async def ask(member: MemberState) -> str:
         async with room:
-            result = await hands.do(Action(ActionKind.VERSION, member.id, plan.to, doors.get(member.id, "")))
+            result = await executor.perform(
+                Action(ActionKind.VERSION, member.id, plan.to, doors.get(member.id, ""))
+            )
         if not result.ok:
             return f"{member.id}: its version can't be asked: {result.text}"
         member.version = result.text
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -9,12 +9,12 @@
 
 from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.farm import Farm
-from flaxstep.rollout.io.child_processes import end_with
-from flaxstep.rollout.io.http_client import text
+from flaxstep.rollout.io.child_processes import kill_with_parent
+from flaxstep.rollout.io.http_client import call_text
 from flaxstep.rollout.plan import Plan, command_line
 from flaxstep.rollout.snapshot import Snapshot
 
-OUTPUT = 64 << 10  # bytes of a command's output that are kept
+MAX_OUTPUT_BYTES = 64 << 10  # bytes of a command's output that are kept
 
 
 class Executor:
@@ -24,10 +24,10 @@
         self.farm, self.plan = farm, plan
         self.snapshot: Snapshot | None = None
 
-    async def do(self, action: Action) -> ActionResult:
+    async def perform(self, action: Action) -> ActionResult:
         """What an action comes to. Nothing that goes wrong outside is an exception here."""
         if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
-            return await self.everywhere(action.kind.value, action.member)
+            return await self.call_all_nodes(action.kind.value, action.member)
         if action.kind is ActionKind.PING:
             return await self.ping(action.member)
         commands = self.plan.commands
@@ -38,23 +38,23 @@
             ActionKind.CHECK: commands.check,
         }[action.kind]
         assert words is not None, "the plan has the commands that its steps ask for"
-        return await run(
+        return await run_command(
             command_line(words, action.member, action.version, action.admin_address), commands.time_limit_s
         )
 
-    async def everywhere(self, what: str, server: str) -> ActionResult:
+    async def call_all_nodes(self, what: str, server: str) -> ActionResult:
         """A call for a job server at every node: yes if all say yes."""
-        said = await asyncio.gather(*(self.at_node(node.doors, what, server) for node in self.farm.nodes))
+        said = await asyncio.gather(*(self.call_node(node.doors, what, server) for node in self.farm.nodes))
         noes = [
             f"{node.name}: {why}" for node, why in zip(self.farm.nodes, said, strict=True) if why is not None
         ]
         return ActionResult(not noes, "; ".join(noes))
 
-    async def at_node(self, doors: tuple[str, ...], what: str, server: str) -> str | None:
+    async def call_node(self, doors: tuple[str, ...], what: str, server: str) -> str | None:
         """Why a node did not say yes; its processes share what one of them is told."""
         why = ""
         for door in doors:
-            status, answer = await text(door, "POST", f"/admin/{what}", server.encode())
+            status, answer = await call_text(door, "POST", f"/admin/{what}", server.encode())
             # A node that does not know the server has nothing to call back.
             if 200 <= status < 300 or (status == 404 and what == "uncordon"):
                 return None
@@ -65,11 +65,11 @@
         line = (self.snapshot.listed or {}).get(server) if self.snapshot is not None else None
         if line is None:
             return ActionResult(False, "not in the list")
-        status, answer = await text(line.address, "GET", "/ping")
+        status, answer = await call_text(line.address, "GET", "/ping")
         return ActionResult(status == 200, answer if status in (0, 200) else f"{status} to a ping")
 
 
-async def run(words: list[str], seconds: float) -> ActionResult:
+async def run_command(words: list[str], seconds: float) -> ActionResult:
     """A command without a shell; what it wrote, or the last line of its errors. It is killed at its limit."""
     parent = os.getpid()
     try:
@@ -79,7 +79,7 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
             start_new_session=True,
-            preexec_fn=lambda: end_with(parent),
+            preexec_fn=lambda: kill_with_parent(parent),
         )
     except OSError as error:
         return ActionResult(False, f"{words[0]}: {error.strerror}")
@@ -87,18 +87,18 @@
         async with asyncio.timeout(seconds):
             out, errors = await process.communicate()
     except TimeoutError:
-        await kill(process)
+        await kill_process_group(process)
         return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", outcome_known=False)
     except BaseException:  # the controller ends: so does what it runs
-        await kill(process)
+        await kill_process_group(process)
         raise
-    last = (errors[-OUTPUT:].decode(errors="replace").strip().splitlines() or [""])[-1]
+    last = (errors[-MAX_OUTPUT_BYTES:].decode(errors="replace").strip().splitlines() or [""])[-1]
     if process.returncode:
         return ActionResult(False, f"{words[0]}: exit code {process.returncode} {last}".strip())
-    return ActionResult(True, out[:OUTPUT].decode(errors="replace").strip())
+    return ActionResult(True, out[:MAX_OUTPUT_BYTES].decode(errors="replace").strip())
 
 
-async def kill(process: asyncio.subprocess.Process) -> None:
+async def kill_process_group(process: asyncio.subprocess.Process) -> None:
     """The command and what it started in its session, by the session's own id."""
     with suppress(ProcessLookupError):
         os.killpg(process.pid, signal.SIGKILL)
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from flaxstep.rollout.farm import Farm, NodeConfig
-from flaxstep.rollout.io.http_client import CallError, call, text
+from flaxstep.rollout.io.http_client import CallError, call, call_text
 from flaxstep.rollout.snapshot import (
     ListedServer,
     NodeView,
@@ -18,29 +18,29 @@
     Snapshot,
 )
 
-MEMBERS = "/catalog/members"
-LIST_TIME = 2.0  # s
-RESULTS = "edge_router.results."
+MEMBERS_PATH = "/catalog/members"
+LIST_TIMEOUT_S = 2.0  # s
+RESULTS_PREFIX = "edge_router.results."
 OUTCOMES = ("succeeded", "declined", "aborted")
 
 
 async def collect_snapshot(farm: Farm, at: float) -> Snapshot:
     nodes, listed = await asyncio.gather(
-        asyncio.gather(*(look_at_node(node) for node in farm.nodes)), look_at_list(farm.discovery)
+        asyncio.gather(*(collect_node(node) for node in farm.nodes)), fetch_server_list(farm.discovery)
     )
     return Snapshot(at, {node.name: node for node in nodes}, listed)
 
 
-async def look_at_node(node: NodeConfig) -> NodeView:
-    found = await asyncio.gather(*(look_at_door(door) for door in node.doors))
+async def collect_node(node: NodeConfig) -> NodeView:
+    found = await asyncio.gather(*(collect_process(door) for door in node.doors))
     processes = tuple(process for process in found if isinstance(process, ProcessView))
     silent = [why for why in found if isinstance(why, str)]
     return NodeView(node.name, processes, "" if processes else silent[0])
 
 
-async def look_at_door(door: str) -> ProcessView | str:
+async def collect_process(door: str) -> ProcessView | str:
     """The process behind a door, or why there is no answer."""
-    status, health = await text(door, "GET", "/admin/health")
+    status, health = await call_text(door, "GET", "/admin/health")
     if not status:
         return health
     try:
@@ -50,18 +50,18 @@
         if said not in (200, 404) or told != 200:
             return f"the door answers {told if said == 200 else said} to a call for figures"
         lines = json.loads(servers) if said == 200 else {}
-        held = {name: read_held(line) for name, line in lines.items()}
+        held = {name: parse_server_counters(line) for name, line in lines.items()}
         # A node of the version before has no such call, or does not tell who is out by hand.
         tells = said == 200 and all("cordoned" in line for line in lines.values())
         word = "ready" if status == 200 else health
-        return ProcessView(door, word, held, read_results(stats), tells)
+        return ProcessView(door, word, held, parse_results(stats), tells)
     except CallError as error:
         return str(error)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return f"its figures can't be read: {type(error).__name__}: {error}"
 
 
-def read_held(line: dict[str, Any]) -> ServerCounters:
+def parse_server_counters(line: dict[str, Any]) -> ServerCounters:
     classes = {
         cls: ResponseCounters(
             told["ok"], told["failed"], told["unstarted"], Counter(dict(map(tuple, told["took"])))
@@ -71,30 +71,30 @@
     return ServerCounters(line["out"], line.get("cordoned", False), line["started"], classes)
 
 
-def read_results(body: bytes) -> dict[str, tuple[int, int, int]]:
+def parse_results(body: bytes) -> dict[str, tuple[int, int, int]]:
     """Requests served, refused and failed by class; other lines are passed over."""
     found: dict[str, dict[str, int]] = {}
     for line in body.decode().splitlines():
         name, _, value = line.partition(":")
-        if name.startswith(RESULTS):
-            cls, _, outcome = name.removeprefix(RESULTS).rpartition(".")
+        if name.startswith(RESULTS_PREFIX):
+            cls, _, outcome = name.removeprefix(RESULTS_PREFIX).rpartition(".")
             found.setdefault(cls, {})[outcome] = int(value.partition("|")[0])
     return {cls: (told[OUTCOMES[0]], told[OUTCOMES[1]], told[OUTCOMES[2]]) for cls, told in found.items()}
 
 
-async def look_at_list(address: str) -> dict[str, ListedServer] | None:
+async def fetch_server_list(address: str) -> dict[str, ListedServer] | None:
     """The whole list; None if it did not come."""
     try:
-        status, body = await call(address, "GET", MEMBERS, seconds=LIST_TIME)
+        status, body = await call(address, "GET", MEMBERS_PATH, seconds=LIST_TIMEOUT_S)
         if status != 200:
             return None
-        lines = [read_line(line) for line in json.loads(body)["instances"]]
+        lines = [parse_listed_server(line) for line in json.loads(body)["instances"]]
     except (CallError, ValueError, KeyError, TypeError):
         return None
     return {line.id: line for line in lines}
 
 
-def read_line(line: dict[str, Any]) -> ListedServer:
+def parse_listed_server(line: dict[str, Any]) -> ListedServer:
     return ListedServer(
         str(line["instanceId"]),
         str(line["hostPort"]),
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -22,9 +22,9 @@
 from flaxstep.rollout.plan import Plan
 from flaxstep.rollout.release import Release
 
-FORM = 1  # of the tables; a file of another form is left alone
-LEASE = 10.0  # s after which a claim that was not renewed may be taken
-BUSY = 5.0  # s to wait for another process's transaction
+SCHEMA_VERSION = 1  # of the tables; a file of another form is left alone
+LEASE_S = 10.0  # s after which a claim that was not renewed may be taken
+BUSY_TIMEOUT_S = 5.0  # s to wait for another process's transaction
 TABLES = """
 CREATE TABLE IF NOT EXISTS claim (
     one INTEGER PRIMARY KEY CHECK (one = 1), number INTEGER, holder TEXT, boot TEXT, renewed REAL);
@@ -48,7 +48,7 @@
     """Another controller acts on this farm now."""
 
 
-def clock() -> float:
+def boot_clock_s() -> float:
     """s since the machine's start; not set by anybody, and the same in all its processes."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -58,20 +58,20 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredRelease:
     """A release as the file has it. `left` are acts that have no result, by id."""
 
     id: int
     plan: Plan
     release: Release
     members: dict[str, MemberState]
-    left: dict[int, Action]
+    unfinished_actions: dict[int, Action]
     began: float
     ended: float | None
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class HistoryLine:
     """One act of a release's history. Times in Unix s; `ok` is None while it has no result."""
 
     id: int
@@ -88,19 +88,21 @@
     """`claim` is 0 for who only reads, or leaves orders."""
 
     def __init__(self, path: Path, must_exist: bool = False) -> None:
-        self.path, self.claim, self.boot = path, 0, boot_id()
+        self.path, self.fencing_token, self.boot = path, 0, boot_id()
         if must_exist and not path.exists():
             raise StoreError(f"{path}: no release has been started on this farm")
-        self.saved: dict[str, bytes] = {}  # members as they were last written
+        self.saved_members: dict[str, bytes] = {}  # members as they were last written
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
-            self.db = sqlite3.connect(path, timeout=BUSY, isolation_level=None)
+            self.db = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
             form = self.db.execute("PRAGMA user_version").fetchone()[0]
-            if form not in (0, FORM):
+            if form not in (0, SCHEMA_VERSION):
                 raise StoreError(f"{path}: written by another version of the program (form {form})")
             if form == 0:
                 self.db.execute("PRAGMA journal_mode = WAL")
-                self.db.executescript(f"BEGIN IMMEDIATE;{TABLES}PRAGMA user_version = {FORM};COMMIT;")
+                self.db.executescript(
+                    f"BEGIN IMMEDIATE;{TABLES}PRAGMA user_version = {SCHEMA_VERSION};COMMIT;"
+                )
             self.db.execute("PRAGMA synchronous = FULL")
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from None
@@ -112,34 +114,34 @@
 
     # The claim.
 
-    def take_claim(self) -> None:
+    def acquire_claim(self) -> None:
         """Become the one controller; StoreError if there is another."""
         with self.transaction(claimed=False):
             found = self.db.execute("SELECT number, holder, boot, renewed FROM claim").fetchone()
             number, holder, boot, renewed = found or (0, "", "", 0.0)
-            ago = clock() - renewed
-            if holder and boot == self.boot and ago < LEASE:
+            ago = boot_clock_s() - renewed
+            if holder and boot == self.boot and ago < LEASE_S:
                 raise StoreError(f"{self.path}: {holder} acts on this farm, last heard of {ago:.1f} s ago")
-            self.claim = number + 1
+            self.fencing_token = number + 1
             self.db.execute(
                 "INSERT OR REPLACE INTO claim VALUES (1, ?, ?, ?, ?)",
-                (self.claim, f"process {os.getpid()}", self.boot, clock()),
+                (self.fencing_token, f"process {os.getpid()}", self.boot, boot_clock_s()),
             )
 
-    def leave_claim(self) -> None:
-        if self.claim:
-            self.db.execute("UPDATE claim SET holder = '' WHERE number = ?", (self.claim,))
-            self.claim = 0
+    def release_claim(self) -> None:
+        if self.fencing_token:
+            self.db.execute("UPDATE claim SET holder = '' WHERE number = ?", (self.fencing_token,))
+            self.fencing_token = 0
 
-    def holds(self) -> bool:
+    def holds_claim(self) -> bool:
         """Whether the claim is still ours, just before an act."""
         found = self.db.execute("SELECT number FROM claim").fetchone()
-        return found is not None and found[0] == self.claim
+        return found is not None and found[0] == self.fencing_token
 
     def holder(self) -> str:
         """Who acts on the farm; empty if nobody does."""
         found = self.db.execute("SELECT holder, boot, renewed FROM claim").fetchone()
-        alive = found and found[1] == self.boot and clock() - found[2] < LEASE
+        alive = found and found[1] == self.boot and boot_clock_s() - found[2] < LEASE_S
         return str(found[0]) if alive else ""
 
     @contextmanager
@@ -150,7 +152,7 @@
             try:
                 if claimed:
                     done = self.db.execute(
-                        "UPDATE claim SET renewed = ? WHERE number = ?", (clock(), self.claim)
+                        "UPDATE claim SET renewed = ? WHERE number = ?", (boot_clock_s(), self.fencing_token)
                     )
                     if done.rowcount != 1:
                         raise ClaimLost(f"{self.path}: another controller has taken this farm over")
@@ -164,7 +166,7 @@
 
     # Releases.
 
-    def begin(self, plan: Plan, release: Release, members: Mapping[str, MemberState]) -> int:
+    def create_release(self, plan: Plan, release: Release, members: Mapping[str, MemberState]) -> int:
         """A new release; its id."""
         text = msgspec.json.encode(plan).decode()
         with self.transaction():
@@ -179,12 +181,12 @@
     def write_members(self, number: int, members: Mapping[str, MemberState]) -> None:
         for member in members.values():
             body = msgspec.json.encode(member)
-            if self.saved.get(member.id) != body:
-                self.saved[member.id] = body
+            if self.saved_members.get(member.id) != body:
+                self.saved_members[member.id] = body
                 line = (number, member.id, body.decode())
                 self.db.execute("INSERT OR REPLACE INTO members VALUES (?, ?, ?)", line)
 
-    def intend(
+    def write_intents(
         self, number: int, release: Release, members: Mapping[str, MemberState], actions: Sequence[Action]
     ) -> list[int]:
         """State and intents in one; the acts' ids, 0 for those that change nothing."""
@@ -217,7 +219,7 @@
         )
         self.write_members(number, members)
 
-    def record(
+    def write_result(
         self,
         number: int,
         release: Release,
@@ -234,12 +236,12 @@
                 )
             self.save(number, release, members)
 
-    def end(self, number: int, release: Release, members: Mapping[str, MemberState]) -> None:
+    def close_release(self, number: int, release: Release, members: Mapping[str, MemberState]) -> None:
         with self.transaction():
             self.save(number, release, members)
             self.db.execute("UPDATE releases SET ended = ? WHERE id = ?", (time.time(), number))
 
-    def newest(self) -> Kept | None:
+    def newest_release(self) -> StoredRelease | None:
         """The last release that was begun, if any was."""
         try:
             found = self.db.execute(
@@ -249,7 +251,7 @@
                 return None
             number, plan, state, boot, began, ended = found
             bodies = self.db.execute("SELECT body FROM members WHERE release = ?", (number,)).fetchall()
-            left = self.db.execute(
+            unfinished = self.db.execute(
                 "SELECT id, act, member, version, door FROM acts WHERE release = ? AND ended IS NULL",
                 (number,),
             ).fetchall()
@@ -263,44 +265,45 @@
             raise StoreError(f"{self.path}: release {number}: {error}") from None
         if boot != self.boot:  # the machine has started anew, and its clock with it
             for member in members:
-                member.since, member.asked = clock(), -1e9
-            release.waits_since = clock()
+                member.since, member.asked = boot_clock_s(), -1e9
+            release.waits_since = boot_clock_s()
         actions = {
-            at: Action(ActionKind(act), member, version, door) for at, act, member, version, door in left
+            at: Action(ActionKind(act), member, version, door)
+            for at, act, member, version, door in unfinished
         }
-        return Kept(number, kept_plan, release, {m.id: m for m in members}, actions, began, ended)
+        return StoredRelease(number, kept_plan, release, {m.id: m for m in members}, actions, began, ended)
 
-    def history(self, number: int) -> list[Line]:
+    def history(self, number: int) -> list[HistoryLine]:
         rows = self.db.execute(
             "SELECT id, at, act, member, version, ended, ok, said FROM acts WHERE release = ? ORDER BY id",
             (number,),
         )
         return [
-            Line(at, when, act, member, version, ended, None if ok is None else bool(ok), said or "")
+            HistoryLine(at, when, act, member, version, ended, None if ok is None else bool(ok), said or "")
             for at, when, act, member, version, ended, ok, said in rows
         ]
 
     # Orders of staff.
 
-    def leave_order(self, number: int, what: str) -> int:
+    def add_order(self, number: int, what: str) -> int:
         with self.transaction(claimed=False):
             done = self.db.execute(
                 "INSERT INTO orders (release, at, what) VALUES (?, ?, ?)", (number, time.time(), what)
             )
             return int(done.lastrowid or 0)
 
-    def orders(self, number: int) -> list[tuple[int, str]]:
+    def pending_orders(self, number: int) -> list[tuple[int, str]]:
         """Those that nobody has taken yet, in their order."""
         rows = self.db.execute(
             "SELECT id, what FROM orders WHERE release = ? AND taken IS NULL ORDER BY id", (number,)
         )
         return [(int(at), str(what)) for at, what in rows]
 
-    def answer_order(self, order: int, said: str) -> None:
+    def record_order_result(self, order: int, said: str) -> None:
         """Within a transaction of the claim's holder, or the order is taken and not kept."""
         self.db.execute("UPDATE orders SET taken = ?, said = ? WHERE id = ?", (time.time(), said, order))
 
-    def order_answer(self, order: int) -> str | None:
+    def order_result(self, order: int) -> str | None:
         """What the controller said to an order; empty: done; None: nothing yet."""
         found = self.db.execute("SELECT taken, said FROM orders WHERE id = ?", (order,)).fetchone()
         return None if found is None or found[0] is None else str(found[1])
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from flaxstep.rollout.actions import MUTATING_ACTIONS, Action, ActionKind, ActionResult
-from flaxstep.rollout.io.controller import LOST
+from flaxstep.rollout.io.controller import RESULT_LOST
 from flaxstep.rollout.io.store import Store
 from flaxstep.rollout.plan import Member, Plan, parse_plan
 from flaxstep.rollout.release import END_STATES, Release, assign_waves
@@ -125,7 +125,7 @@
 
     def node(self, node: str) -> NodeView:
         if node in self.silent:
-            return NodeView(node, (), "no answer within 1 s")
+            return NodeView(node, (), "no response within 1 s")
         servers = {}
         for name, server in self.servers.items():
             ok, bad, bins = self.counts.get((node, name), (0, 0, Counter()))
@@ -200,20 +200,20 @@
 
     def start(self) -> None:
         self.store = Store(self.path)
-        self.store.take_claim()
-        kept = self.store.newest()
+        self.store.acquire_claim()
+        kept = self.store.newest_release()
         nodes = {n: (f"{n}a", f"{n}b") for n in self.farm.cordons}
         if kept is None:
             names = nodes if self.plan.what == "nodes" else self.farm.servers
             members = assign_waves(self.plan, [Member(name, "z", 1.0) for name in names])
-            self.number = self.store.begin(self.plan, Release(), members)
-            kept = self.store.newest()
+            self.number = self.store.create_release(self.plan, Release(), members)
+            kept = self.store.newest_release()
         assert kept is not None
         self.number, self.release, self.members = kept.id, kept.release, kept.members
         self.state_machine = ReleaseStateMachine(kept.plan, kept.release, kept.members, nodes)
-        self.state_machine.recover(kept.left.values(), self.farm.now)
-        for number in kept.left:
-            self.store.record(self.number, self.release, self.members, number, LOST)
+        self.state_machine.recover(kept.unfinished_actions.values(), self.farm.now)
+        for number in kept.unfinished_actions:
+            self.store.write_result(self.number, self.release, self.members, number, RESULT_LOST)
 
     def point(self) -> None:
         self.points += 1
@@ -228,7 +228,7 @@
             changing = any(action.kind in MUTATING_ACTIONS for action in actions)
             if changing:
                 self.point()
-            ids = self.store.intend(self.number, self.release, self.members, actions)
+            ids = self.store.write_intents(self.number, self.release, self.members, actions)
             for number, action in zip(ids, actions, strict=True):
                 if number:
                     self.point()
@@ -237,9 +237,9 @@
                     self.point()
                 self.members[action.member].open = 0
                 self.state_machine.on_action_ended(action, result, self.farm.now)
-                self.store.record(self.number, self.release, self.members, number, result)
+                self.store.write_result(self.number, self.release, self.members, number, result)
         except Killed:
-            self.store.leave_claim()  # as if its lease had run out
+            self.store.release_claim()  # as if its lease had run out
             self.store.close()
             self.start()
 
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -13,7 +13,7 @@
 from flaxstep.rollout.actions import Action, ActionKind, MemberState
 from flaxstep.rollout.actions import ActionResult as Came
 from flaxstep.rollout.farm import read_farm
-from flaxstep.rollout.io.controller import open_release
+from flaxstep.rollout.io.controller import resume_or_create_release
 from flaxstep.rollout.io.store import Store, StoreError
 from flaxstep.rollout.release import Release, State
 from tests.farms import plan
@@ -80,26 +80,28 @@
 
 def test_an_open_release_goes_on_with_another_on_bad_but_with_no_other_plan(folder: Path) -> None:
     farm, store, first = read_farm(folder / "farm.toml"), Store(folder / "kept" / "state"), plan()
-    store.take_claim()
-    number = store.begin(first, Release(), {"s-1": MemberState("s-1", "a", 1.0, "v1")})
-    found = asyncio.run(open_release(farm, store, plan(watch='on_bad = "hold"')))
+    store.acquire_claim()
+    number = store.create_release(first, Release(), {"s-1": MemberState("s-1", "a", 1.0, "v1")})
+    found = asyncio.run(resume_or_create_release(farm, store, plan(watch='on_bad = "hold"')))
     assert (found.id, found.plan.watch.on_bad) == (number, "hold")
     with pytest.raises(StoreError, match="is not over"):
-        asyncio.run(open_release(farm, store, plan(watch="slower = 2")))
+        asyncio.run(resume_or_create_release(farm, store, plan(watch="slower = 2")))
     store.close()
 
 
 def test_status_history_and_orders_of_a_release_without_a_controller(folder: Path) -> None:
     store = Store(folder / "kept" / "state")
-    store.take_claim()
+    store.acquire_claim()
     members = {"s-1": MemberState("s-1", "a", 1.0, "v1"), "s-2": MemberState("s-2", "b", 1.0, "v1", wave=1)}
-    number = store.begin(plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not answer"), members)
-    [act] = store.intend(
+    number = store.create_release(
+        plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not answer"), members
+    )
+    [act] = store.write_intents(
         number, Release(state=State.IN_PROGRESS), members, [Action(ActionKind.CORDON, "s-1")]
     )
-    store.record(number, Release(state=State.IN_PROGRESS), members, act, Came(False, "n0: no answer"))
+    store.write_result(number, Release(state=State.IN_PROGRESS), members, act, Came(False, "n0: no answer"))
     assert f"process {store.holder().split()[-1]}" in call(folder, "status").output
-    store.leave_claim()
+    store.release_claim()
 
     status = json.loads(call(folder, "status", "--json").output)
     assert (status["state"], status["wave"], status["waves"], status["controller"]) == ("under way", 1, 2, "")
@@ -115,12 +117,12 @@
     assert call(folder, "close").exit_code == 2  # it is under way
     said = call(folder, "pause")
     assert said.exit_code == 0 and "no controller runs" in said.output
-    assert [what for _, what in store.orders(number)] == ["pause"]
+    assert [what for _, what in store.pending_orders(number)] == ["pause"]
 
-    store.take_claim()
+    store.acquire_claim()
     with store.transaction():
         store.save(number, Release(state=State.HALTED), members)
-    store.leave_claim()
+    store.release_claim()
     assert call(folder, "close").exit_code == 0
     assert "is over: halted" in call(folder, "back").output
     store.close()
--- a/tests/test_release_course.py
+++ b/tests/test_release_course.py
@@ -191,16 +191,16 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     first, second = Store(tmp_path / "state"), Store(tmp_path / "state")
-    first.take_claim()
+    first.acquire_claim()
     with pytest.raises(StoreError, match="acts on this farm"):
-        second.take_claim()
-    monkeypatch.setattr("flaxstep.rollout.io.store.LEASE", 0.0)  # the first was stopped for long
-    second.take_claim()
-    assert not first.holds() and second.holds()
+        second.acquire_claim()
+    monkeypatch.setattr("flaxstep.rollout.io.store.LEASE_S", 0.0)  # the first was stopped for long
+    second.acquire_claim()
+    assert not first.holds_claim() and second.holds_claim()
     with pytest.raises(ClaimLost):
-        first.intend(1, Release(), {}, [])
-    first.leave_claim()
-    assert second.holds()
+        first.write_intents(1, Release(), {}, [])
+    first.release_claim()
+    assert second.holds_claim()
 
 
 def test_a_state_file_that_is_none_is_told_in_one_line(tmp_path: Path) -> None:
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -73,12 +73,12 @@
         ({"/admin/stats": (500, "failed")}, "", "answers 500"),
         ({"/admin/servers": (200, "{")}, "", "can't be read"),
         ({"/admin/servers": (200, '{"s-1": 3}')}, "", "can't be read"),
-        ({"/admin/servers": b"what?\r\n\r\n"}, "", "no proper answer"),
-        ({"/admin/health": b""}, "", "ended without an answer"),
+        ({"/admin/servers": b"what?\r\n\r\n"}, "", "invalid response"),
+        ({"/admin/health": b""}, "", "ended without a response"),
         (
             {"/admin/servers": b"HTTP/1.1 200 X\r\nContent-Length: 900\r\n\r\n{}"},
             "",
-            "ended within its answer",
+            "ended in the middle of its response",
         ),
     ],
 )
@@ -101,8 +101,8 @@
         server = await asyncio.start_server(lambda *_: asyncio.sleep(5), "127.0.0.1", 0)
         place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
-            return await http_client.text(place, "GET", "/admin/health", seconds=0.05)
+            return await http_client.call_text(place, "GET", "/admin/health", seconds=0.05)
         finally:
             server.close()
 
-    assert asyncio.run(silent()) == (0, "no answer within 0.05 s")
+    assert asyncio.run(silent()) == (0, "no response within 0.05 s")
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -18,7 +18,7 @@
 from flaxstep.faultbench.operators import OperatorCommands, run_controller
 from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.farm import read_farm
-from flaxstep.rollout.io.store import LEASE, Kept, Store
+from flaxstep.rollout.io.store import LEASE_S, Store, StoredRelease
 from flaxstep.rollout.release import Release, State
 from tests.rigs import NODE, ROOT, Played, rig
 
@@ -107,14 +107,14 @@
         store.close()
         await self.control()
 
-    def kept(self) -> Kept | None:
+    def kept(self) -> StoredRelease | None:
         """The release as the state file has it."""
         store = Store(Path(read_farm(self.farm).state))
-        kept = store.newest()
+        kept = store.newest_release()
         store.close()
         return kept
 
-    async def stands(self, condition: Callable[[Kept], bool]) -> None:
+    async def stands(self, condition: Callable[[StoredRelease], bool]) -> None:
         """Until the release stands so."""
 
         def stands() -> bool:
@@ -262,7 +262,7 @@
     first = live.controller
     await live.called("restart")
     first.send(signal.SIGSTOP)
-    await asyncio.sleep(LEASE + 0.5)
+    await asyncio.sleep(LEASE_S + 0.5)
     second = await live.control()
     await live.until(lambda: "wave" in (live.stage.folder / "controller-2.log").read_text())
     first.send(signal.SIGCONT)
