--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -26,8 +26,8 @@
 from flaxstep.rollout.plan import Plan, PlanError, max_out_at_once, read_plan, split_into_waves
 from flaxstep.rollout.release import State
 
-STOPPED = 130
-ORDER_TIME = 5.0  # s to wait for a controller's answer to an order
+EXIT_STOPPED = 130
+ORDER_TIMEOUT_S = 5.0  # s to wait for a controller's answer to an order
 FARM = click.option(
     "--farm", "farm_path", type=click.Path(path_type=Path), default=Path("farm.toml"), show_default=True,
     help="The farm file.",
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def refusing() -> Iterator[None]:
+def report_errors() -> Iterator[None]:
     """What can't be done is a line (a fault each, of plans), not a traceback."""
     try:
         yield
@@ -62,13 +62,13 @@
 
     Example: flaxstep release check v2.toml --farm farm.toml
     """
-    with refusing():
+    with report_errors():
         plan, farm = read_plan(plan_path), read_farm(farm_path)
-        found = asyncio.run(survey(farm, plan))
+        found = asyncio.run(survey_plan(farm, plan))
     if as_json:
         click.echo(msgspec.json.encode(found))
     else:
-        show_survey(found)
+        print_survey(found)
     sys.exit(1 if found.reasons else 0)
 
 
@@ -92,7 +92,7 @@
     reasons: list[str]
 
 
-async def survey(farm: Farm, plan: Plan) -> Survey:
+async def survey_plan(farm: Farm, plan: Plan) -> Survey:
     members = await plan_members(farm, plan)
     snapshot = await collect_snapshot(farm, boot_clock_s())
     whole = sum(member.size for member in members)
@@ -111,7 +111,7 @@
     return Survey(plan.name, plan.what, plan.to, lines, reasons)
 
 
-def show_survey(found: Survey) -> None:
+def print_survey(found: Survey) -> None:
     console = Console(highlight=False, width=110)
     table = Table("wave", "zone", "members", "at once", "capacity left", "takes at least")
     for number, line in enumerate(found.waves, 1):
@@ -134,7 +134,7 @@
 
     Example: flaxstep release run v2.toml --farm farm.toml --on-bad hold
     """
-    with refusing():
+    with report_errors():
         plan, farm = read_plan(plan_path), read_farm(farm_path)
         if on_bad is not None:
             watch = msgspec.structs.replace(plan.watch, on_bad=on_bad)
@@ -143,7 +143,7 @@
         store.acquire_claim()
         kept = None
         try:
-            kept = asyncio.run(carry_out(farm, store, plan, say))
+            kept = asyncio.run(run_release(farm, store, plan, print_line))
         except ClaimLost:
             raise
         except (KeyboardInterrupt, asyncio.CancelledError):
@@ -152,27 +152,29 @@
             store.release_claim()
             store.close()
     if kept is None:
-        sys.exit(STOPPED)
-    show_end(kept)
+        sys.exit(EXIT_STOPPED)
+    print_result(kept)
     sys.exit(0 if kept.release.state is State.DONE else 1)
 
 
-def say(line: str) -> None:
+def print_line(line: str) -> None:
     click.echo(f"{time.strftime('%H:%M:%S')} {line}")
 
 
-async def carry_out(farm: Farm, store: Store, plan: Plan, tell: Callable[[str], None]) -> StoredRelease:
-    this = asyncio.current_task()
-    assert this is not None
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, this.cancel)
+async def run_release(
+    farm: Farm, store: Store, plan: Plan, report_line: Callable[[str], None]
+) -> StoredRelease:
+    task = asyncio.current_task()
+    assert task is not None
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     kept = await resume_or_create_release(farm, store, plan)
-    controller = Controller(farm, store, kept, tell)
+    controller = Controller(farm, store, kept, report_line)
     controller.recover()
     await controller.run()
     return kept
 
 
-def show_end(kept: StoredRelease) -> None:
+def print_result(kept: StoredRelease) -> None:
     why = f": {kept.release.why}" if kept.release.why else ""
     click.echo(f"release {kept.id}, {kept.plan.name}: {kept.release.state.value}{why}")
     for member in kept.members.values():
@@ -180,7 +182,7 @@
             click.echo(f"{member.id} is {member.phase.value}: {member.note}")
 
 
-def newest(farm_path: Path) -> tuple[Store, StoredRelease]:
+def open_newest_release(farm_path: Path) -> tuple[Store, StoredRelease]:
     store = Store(Path(read_farm(farm_path).state), must_exist=True)
     kept = store.newest_release()
     if kept is None:
@@ -222,9 +224,9 @@
 @JSON
 def status_command(farm_path: Path, as_json: bool) -> None:
     """Where the newest release of the farm stands."""
-    with refusing():
-        store, kept = newest(farm_path)
-        held, state = store.holder(), kept.release
+    with report_errors():
+        store, kept = open_newest_release(farm_path)
+        holder, state = store.holder(), kept.release
         store.close()
     members = [
         MemberLine(m.id, m.zone, m.wave + 1, m.version, m.phase.value, m.note)
@@ -233,15 +235,15 @@
     last = max((line.wave for line in members), default=1)
     status = Status(
         kept.id, kept.plan.name, state.state.value, state.why, state.waiting, min(state.wave + 1, last), last,
-        round(state.baked, 1), round(state.stake, 3), state.wanted, state.served, held, members,
+        round(state.baked, 1), round(state.stake, 3), state.wanted, state.served, holder, members,
     )  # fmt: skip
     if as_json:
         click.echo(msgspec.json.encode(status))
     else:
-        show_status(status)
+        print_status(status)
 
 
-def show_status(status: Status) -> None:
+def print_status(status: Status) -> None:
     console = Console(highlight=False, width=110)
     why = f": {status.why}" if status.why else ""
     console.print(f"release {status.release}, {status.plan}: {status.state}{why}")
@@ -263,8 +265,8 @@
 @JSON
 def history_command(farm_path: Path, as_json: bool) -> None:
     """Every act of the newest release: when, at whom, and what came of it."""
-    with refusing():
-        store, kept = newest(farm_path)
+    with report_errors():
+        store, kept = open_newest_release(farm_path)
         lines = store.history(kept.id)
         store.close()
     if as_json:
@@ -279,14 +281,14 @@
     Console(highlight=False, width=110).print(table)
 
 
-def order(farm_path: Path, what: str) -> None:
+def send_order(farm_path: Path, what: str) -> None:
     """Leave an order, and say what came of it."""
-    with refusing():
-        store, kept = newest(farm_path)
+    with report_errors():
+        store, kept = open_newest_release(farm_path)
         try:
             if kept.ended is not None:
                 raise CommandError(f"release {kept.id} is over: {kept.release.state.value}")
-            number, end = store.add_order(kept.id, what), time.monotonic() + ORDER_TIME
+            number, end = store.add_order(kept.id, what), time.monotonic() + ORDER_TIMEOUT_S
             if not store.holder():
                 click.echo(f"{what}: kept; no controller runs, 'flaxstep release run' carries it out")
                 return
@@ -295,7 +297,7 @@
         finally:
             store.close()
     if said is None:
-        raise CommandError(f"{what}: the controller has not answered within {ORDER_TIME:g} s")
+        raise CommandError(f"{what}: the controller has not answered within {ORDER_TIMEOUT_S:g} s")
     if said:
         raise CommandError(f"{what}: no, {said}")
     click.echo(f"{what}: done")
@@ -305,29 +307,29 @@
 @FARM
 def pause_command(farm_path: Path) -> None:
     """Send nothing further out; what is out comes back."""
-    order(farm_path, "pause")
+    send_order(farm_path, "pause")
 
 
 @release.command("resume")
 @FARM
 def resume_command(farm_path: Path) -> None:
     """Go on after a pause, a halt, or when it gave up. After a halt the judgement begins anew."""
-    order(farm_path, "resume")
+    send_order(farm_path, "resume")
 
 
 @release.command("back")
 @FARM
 def back_command(farm_path: Path) -> None:
     """Bring what is released back to the version before."""
-    order(farm_path, "back")
+    send_order(farm_path, "back")
 
 
 @release.command("close")
 @FARM
 def close_command(farm_path: Path) -> None:
     """End a release that halted or gave up, as it stands; another can begin then."""
-    with refusing():
-        store, kept = newest(farm_path)
+    with report_errors():
+        store, kept = open_newest_release(farm_path)
         try:
             if kept.ended is None and kept.release.state not in (State.HALTED, State.ABANDONED):
                 raise CommandError(
