--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -110,10 +110,10 @@
     for look in range(BAKE * (len(sizes) + 1)):  # the last stretch runs on with the most released
         released = np.zeros(n, dtype=bool)
         released[order[: sizes[min(look // BAKE, len(sizes) - 1)]]] = True
-        seen, spoilt = farm.look(look, released, version)
-        answered += sum(line.responses for line in seen)
+        samples, spoilt = farm.look(look, released, version)
+        answered += sum(line.responses for line in samples)
         outcome.harmed += spoilt
-        assessment = analysis.update(seen)
+        assessment = analysis.update(samples)
         if assessment.finding is Finding.BAD:
             outcome.halted, outcome.released, outcome.why = look, int(released.sum()), assessment.reason
             break
--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -141,9 +141,9 @@
             plan = msgspec.structs.replace(plan, watch=watch)
         store = Store(Path(farm.state))
         store.acquire_claim()
-        kept = None
+        stored = None
         try:
-            kept = asyncio.run(run_release(farm, store, plan, print_line))
+            stored = asyncio.run(run_release(farm, store, plan, print_line))
         except ClaimLost:
             raise
         except (KeyboardInterrupt, asyncio.CancelledError):
@@ -151,10 +151,10 @@
         finally:
             store.release_claim()
             store.close()
-    if kept is None:
+    if stored is None:
         sys.exit(EXIT_STOPPED)
-    print_result(kept)
-    sys.exit(0 if kept.release.state is State.DONE else 1)
+    print_result(stored)
+    sys.exit(0 if stored.release.state is State.DONE else 1)
 
 
 def print_line(line: str) -> None:
@@ -167,27 +167,27 @@
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    kept = await resume_or_create_release(farm, store, plan)
-    controller = Controller(farm, store, kept, report_line)
+    stored = await resume_or_create_release(farm, store, plan)
+    controller = Controller(farm, store, stored, report_line)
     controller.recover()
     await controller.run()
-    return kept
+    return stored
 
 
-def print_result(kept: StoredRelease) -> None:
-    why = f": {kept.release.why}" if kept.release.why else ""
-    click.echo(f"release {kept.id}, {kept.plan.name}: {kept.release.state.value}{why}")
-    for member in kept.members.values():
+def print_result(stored: StoredRelease) -> None:
+    why = f": {stored.release.why}" if stored.release.why else ""
+    click.echo(f"release {stored.id}, {stored.plan.name}: {stored.release.state.value}{why}")
+    for member in stored.members.values():
         if member.phase not in (Phase.SERVING, Phase.GONE):
             click.echo(f"{member.id} is {member.phase.value}: {member.note}")
 
 
 def open_newest_release(farm_path: Path) -> tuple[Store, StoredRelease]:
     store = Store(Path(read_farm(farm_path).state), must_exist=True)
-    kept = store.newest_release()
-    if kept is None:
+    stored = store.newest_release()
+    if stored is None:
         raise StoreError(f"{store.path}: no release has been started on this farm")
-    return store, kept
+    return store, stored
 
 
 class MemberLine(msgspec.Struct):
@@ -225,16 +225,16 @@
 def status_command(farm_path: Path, as_json: bool) -> None:
     """Where the newest release of the farm stands."""
     with report_errors():
-        store, kept = open_newest_release(farm_path)
-        holder, state = store.holder(), kept.release
+        store, stored = open_newest_release(farm_path)
+        holder, state = store.holder(), stored.release
         store.close()
     members = [
         MemberLine(m.id, m.zone, m.wave + 1, m.version, m.phase.value, m.note)
-        for m in sorted(kept.members.values(), key=lambda m: (m.wave, m.id))
+        for m in sorted(stored.members.values(), key=lambda m: (m.wave, m.id))
     ]
     last = max((line.wave for line in members), default=1)
     status = Status(
-        kept.id, kept.plan.name, state.state.value, state.why, state.waiting, min(state.wave + 1, last), last,
+        stored.id, stored.plan.name, state.state.value, state.why, state.waiting, min(state.wave + 1, last), last,
         round(state.baked, 1), round(state.stake, 3), state.wanted, state.served, holder, members,
     )  # fmt: skip
     if as_json:
@@ -266,8 +266,8 @@
 def history_command(farm_path: Path, as_json: bool) -> None:
     """Every act of the newest release: when, at whom, and what came of it."""
     with report_errors():
-        store, kept = open_newest_release(farm_path)
-        lines = store.history(kept.id)
+        store, stored = open_newest_release(farm_path)
+        lines = store.history(stored.id)
         store.close()
     if as_json:
         click.echo(msgspec.json.encode(lines))
@@ -284,22 +284,22 @@
 def send_order(farm_path: Path, what: str) -> None:
     """Leave an order, and say what came of it."""
     with report_errors():
-        store, kept = open_newest_release(farm_path)
+        store, stored = open_newest_release(farm_path)
         try:
-            if kept.ended is not None:
-                raise CommandError(f"release {kept.id} is over: {kept.release.state.value}")
-            number, end = store.add_order(kept.id, what), time.monotonic() + ORDER_TIMEOUT_S
+            if stored.ended is not None:
+                raise CommandError(f"release {stored.id} is over: {stored.release.state.value}")
+            number, end = store.add_order(stored.id, what), time.monotonic() + ORDER_TIMEOUT_S
             if not store.holder():
                 click.echo(f"{what}: kept; no controller runs, 'flaxstep release run' carries it out")
                 return
-            while (said := store.order_result(number)) is None and time.monotonic() < end:
+            while (result := store.order_result(number)) is None and time.monotonic() < end:
                 time.sleep(0.1)
         finally:
             store.close()
-    if said is None:
+    if result is None:
         raise CommandError(f"{what}: the controller has not answered within {ORDER_TIMEOUT_S:g} s")
-    if said:
-        raise CommandError(f"{what}: no, {said}")
+    if result:
+        raise CommandError(f"{what}: no, {result}")
     click.echo(f"{what}: done")
 
 
@@ -329,15 +329,15 @@
 def close_command(farm_path: Path) -> None:
     """End a release that halted or gave up, as it stands; another can begin then."""
     with report_errors():
-        store, kept = open_newest_release(farm_path)
+        store, stored = open_newest_release(farm_path)
         try:
-            if kept.ended is None and kept.release.state not in (State.HALTED, State.ABANDONED):
+            if stored.ended is None and stored.release.state not in (State.HALTED, State.ABANDONED):
                 raise CommandError(
-                    f"release {kept.id} is {kept.release.state.value}: pause it, or call it back"
+                    f"release {stored.id} is {stored.release.state.value}: pause it, or call it back"
                 )
             store.acquire_claim()
-            store.close_release(kept.id, kept.release, kept.members)
+            store.close_release(stored.id, stored.release, stored.members)
             store.release_claim()
         finally:
             store.close()
-    click.echo(f"release {kept.id}: closed")
+    click.echo(f"release {stored.id}: closed")
--- a/flaxstep/rollout/canary_analysis.py
+++ b/flaxstep/rollout/canary_analysis.py
@@ -113,11 +113,11 @@
         answers = sum(score.answers for score in members_counts)
         counted = sum(score.counted for score in members_counts)
         expected = sum(score.expected for score in members_counts)
-        rest = sum(score.answers for score in self.rest.values())
-        if not answers or not rest or expected <= 0:
+        baseline = sum(score.answers for score in self.rest.values())
+        if not answers or not baseline or expected <= 0:
             return 1.0
         # What is expected is itself known only as well as the rest's answers tell.
-        uncertainty = self.overdispersion() * (1 + answers / rest)
+        uncertainty = self.overdispersion() * (1 + answers / baseline)
         share = min(expected / answers, MAX_BET_SHARE)
         stakes = [1.0]  # the part of the stake that is not test
         for factor in BET_FACTORS:
@@ -141,14 +141,14 @@
         self.recent = [0.0, 0.0]  # the same, of the last looks
         self.has_baseline = False  # whether the last look had something to compare with
 
-    def update(self, seen: Sequence[MemberSample]) -> Assessment:
+    def update(self, samples: Sequence[MemberSample]) -> Assessment:
         """Take up what was seen since the last look, and say what it comes to."""
-        seen = [line for line in seen if not line.cold]
-        rest = [line for line in seen if not line.released]
-        self.baseline_failed += sum(line.failed for line in rest)
-        self.baseline_responses += sum(line.responses for line in rest)
+        samples = [line for line in samples if not line.cold]
+        baseline = [line for line in samples if not line.released]
+        self.baseline_failed += sum(line.failed for line in baseline)
+        self.baseline_responses += sum(line.responses for line in baseline)
         self.has_baseline = (
-            self.baseline_responses >= MIN_BASELINE_RESPONSES and sum(line.responses for line in rest) > 0
+            self.baseline_responses >= MIN_BASELINE_RESPONSES and sum(line.responses for line in baseline) > 0
         )
         if not self.has_baseline:
             return Assessment(
@@ -158,17 +158,17 @@
             )
         failure_test, slow_test = self.tests
         failed, answers = self.recent
-        self.recent[0] = failed + sum(line.failed for line in rest) - failed / RECENT_SNAPSHOTS
-        self.recent[1] = answers + sum(line.responses for line in rest) - answers / RECENT_SNAPSHOTS
+        self.recent[0] = failed + sum(line.failed for line in baseline) - failed / RECENT_SNAPSHOTS
+        self.recent[1] = answers + sum(line.responses for line in baseline) - answers / RECENT_SNAPSHOTS
         share = max(
             (self.baseline_failed + 1) / (self.baseline_responses + 1),
             self.recent[0] / max(self.recent[1], 1.0),
         )
-        for line in seen:
+        for line in samples:
             expected_share = share + (self.tolerated_failure_share if line.released else 0.0)
             failure_test.add(line.member, line.released, line.responses, line.failed, expected_share)
-        slowdown = baseline_slowdown(rest)
-        for line in seen:
+        slowdown = baseline_slowdown(baseline)
+        for line in samples:
             slow_test.add(
                 line.member,
                 line.released,
@@ -226,8 +226,8 @@
         )
 
 
-def baseline_slowdown(rest: Iterable[MemberSample]) -> float:
+def baseline_slowdown(baseline: Iterable[MemberSample]) -> float:
     """How slow answers of the rest have become, all members together: load moves them all."""
-    lines = list(rest)
+    lines = list(baseline)
     usual = sum(line.responses * line.baseline_slow_share for line in lines)
     return (sum(line.slow for line in lines) + 1) / (usual + 1)
--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -75,29 +75,29 @@
                 for cls, now in process.results.items():
                     key = process.admin_address, cls
                     self.last_results[key] = now
-                    fresh = counter_increase(last_results.get(key), now)
+                    increase = counter_increase(last_results.get(key), now)
                     worth = self.worths.get(cls, 1.0)
-                    asked, served = asked + worth * sum(fresh), served + worth * fresh[0]
+                    asked, served = asked + worth * sum(increase), served + worth * increase[0]
                     if self.kind == "nodes":
                         counts = found.setdefault(node.name, Counts())
                         counts.succeeded, counts.failed = (
-                            counts.succeeded + fresh[0],
-                            counts.failed + sum(fresh[1:]),
+                            counts.succeeded + increase[0],
+                            counts.failed + sum(increase[1:]),
                         )
                 for server, server_counters in process.servers.items():
                     member = node.name if self.kind == "nodes" else server
                     counts = found.setdefault(member, Counts())
-                    for cls, told in server_counters.classes.items():
+                    for cls, counters in server_counters.classes.items():
                         self.last_counters[process.admin_address, server, cls] = (
                             server_counters.started_ms,
-                            told,
+                            counters,
                         )
                         self.add_responses(
                             counts,
                             cls,
                             last.get((process.admin_address, server, cls)),
                             server_counters.started_ms,
-                            told,
+                            counters,
                         )
         self.worth_history.append((snapshot.taken_at_s, asked, served))
         while self.worth_history[0][0] < snapshot.taken_at_s - WORTH_WINDOW_S:
@@ -146,11 +146,11 @@
 
     def compute_thresholds(self) -> None:
         """The marks, from what was measured."""
-        whole: dict[str, LatencyHistogram] = {}
+        pooled: dict[str, LatencyHistogram] = {}
         for histograms in self.baseline_histograms.values():
             for cls, histogram in histograms.items():
-                whole.setdefault(cls, Counter()).update(histogram)
-        self.pooled_thresholds = {cls: slow_threshold(histogram) for cls, histogram in whole.items()}
+                pooled.setdefault(cls, Counter()).update(histogram)
+        self.pooled_thresholds = {cls: slow_threshold(histogram) for cls, histogram in pooled.items()}
         self.thresholds = {
             member: {
                 cls: slow_threshold(histogram)
@@ -192,11 +192,11 @@
         if not released:
             return sum(count for bucket, count in histogram.items() if bucket > last)
         raised = bucket_end_ms(last) * self.tolerated_slowdown
-        place = 4 * math.log2(raised + 1) - 1
-        split_bucket, part = math.ceil(place), math.ceil(place) - place
+        position = 4 * math.log2(raised + 1) - 1
+        split_bucket, fraction = math.ceil(position), math.ceil(position) - position
         exact = sum(count for bucket, count in histogram.items() if bucket > split_bucket)
         exact_count = (
-            exact + part * histogram.get(split_bucket, 0) + self.carried_fractions.get((member, cls), 0.0)
+            exact + fraction * histogram.get(split_bucket, 0) + self.carried_fractions.get((member, cls), 0.0)
         )
         whole = math.floor(exact_count)
         self.carried_fractions[member, cls] = exact_count - whole
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -25,21 +25,23 @@
 class Controller:
     """`tell` gets one line for each thing that happens."""
 
-    def __init__(self, farm: Farm, store: Store, kept: StoredRelease, report_line: LineReporter) -> None:
-        self.farm, self.store, self.kept, self.report_line = farm, store, kept, report_line
-        doors = {node.name: node.doors for node in farm.nodes}
-        self.state_machine = ReleaseStateMachine(kept.plan, kept.release, kept.members, doors)
-        self.executor = Executor(farm, kept.plan)
+    def __init__(self, farm: Farm, store: Store, stored: StoredRelease, report_line: LineReporter) -> None:
+        self.farm, self.store, self.stored, self.report_line = farm, store, stored, report_line
+        admin_addresses = {node.name: node.doors for node in farm.nodes}
+        self.state_machine = ReleaseStateMachine(stored.plan, stored.release, stored.members, admin_addresses)
+        self.executor = Executor(farm, stored.plan)
         self.reported_state: tuple[State, str, int] | None = None
-        self.reported_phases = {member.id: member.phase for member in kept.members.values()}
+        self.reported_phases = {member.id: member.phase for member in stored.members.values()}
 
     def recover(self) -> None:
         """What a controller that was killed has left: every action without a result."""
-        self.state_machine.recover(self.kept.unfinished_actions.values(), boot_clock_s())
-        for number, action in self.kept.unfinished_actions.items():
+        self.state_machine.recover(self.stored.unfinished_actions.values(), boot_clock_s())
+        for number, action in self.stored.unfinished_actions.items():
             self.report_line(f"{action.kind.value} {action.member}: {RESULT_LOST.text}")
-            self.store.write_result(self.kept.id, self.kept.release, self.kept.members, number, RESULT_LOST)
-        self.kept.unfinished_actions.clear()
+            self.store.write_result(
+                self.stored.id, self.stored.release, self.stored.members, number, RESULT_LOST
+            )
+        self.stored.unfinished_actions.clear()
 
     async def run(self) -> None:
         """Until the release is over; ClaimLost if another controller has taken the farm over.
@@ -47,40 +49,40 @@
         Ends as well where a release that is over can't call somebody back for as long as its plan waits.
         """
         ended_at: float | None = None
-        watch = self.kept.plan.watch
+        watch = self.stored.plan.watch
         try:
             async with asyncio.TaskGroup() as tasks:
                 self.apply_orders()
                 while not self.state_machine.finished:
-                    begun = time.monotonic()
+                    started_at = time.monotonic()
                     await self.run_cycle(tasks)
-                    ended_at = (ended_at or begun) if self.kept.release.state in END_STATES else None
-                    if ended_at is not None and begun - ended_at > watch.wait_s:
+                    ended_at = (ended_at or started_at) if self.stored.release.state in END_STATES else None
+                    if ended_at is not None and started_at - ended_at > watch.wait_s:
                         break
-                    await asyncio.sleep(max(0.05, begun + watch.look_s - time.monotonic()))
+                    await asyncio.sleep(max(0.05, started_at + watch.look_s - time.monotonic()))
         except ExceptionGroup as group:
             raise group.exceptions[0] from None
-        if self.kept.release.state in (State.DONE, State.ROLLED_BACK) and self.state_machine.finished:
-            self.store.close_release(self.kept.id, self.kept.release, self.kept.members)
+        if self.stored.release.state in (State.DONE, State.ROLLED_BACK) and self.state_machine.finished:
+            self.store.close_release(self.stored.id, self.stored.release, self.stored.members)
 
     def apply_orders(self) -> None:
         with self.store.transaction():
-            for number, what in self.store.pending_orders(self.kept.id):
-                said = self.state_machine.apply_order(what)
-                self.store.record_order_result(number, said)
-                self.report_line(f"{what}, called by staff{': no, ' if said else ''}{said}")
-            self.store.save(self.kept.id, self.kept.release, self.kept.members)
+            for number, what in self.store.pending_orders(self.stored.id):
+                refusal = self.state_machine.apply_order(what)
+                self.store.record_order_result(number, refusal)
+                self.report_line(f"{what}, called by staff{': no, ' if refusal else ''}{refusal}")
+            self.store.save(self.stored.id, self.stored.release, self.stored.members)
 
     async def run_cycle(self, tasks: asyncio.TaskGroup) -> None:
         snapshot = await collect_snapshot(self.farm, boot_clock_s())
         self.executor.snapshot = snapshot
-        if self.store.pending_orders(self.kept.id):
+        if self.store.pending_orders(self.stored.id):
             self.apply_orders()
         actions = self.state_machine.tick(boot_clock_s(), snapshot)
-        ids = self.store.write_intents(self.kept.id, self.kept.release, self.kept.members, actions)
+        ids = self.store.write_intents(self.stored.id, self.stored.release, self.stored.members, actions)
         self.report_changes()
         for number, action in zip(ids, actions, strict=True):
-            self.kept.members[action.member].open = (
+            self.stored.members[action.member].open = (
                 number or -1
             )  # reads have no line, and are out all the same
             tasks.create_task(self.perform_action(number, action))
@@ -89,19 +91,19 @@
         if not self.store.holds_claim():
             raise ClaimLost(f"{self.store.path}: another controller has taken this farm over")
         result = await self.executor.perform(action)
-        self.kept.members[action.member].open = 0
+        self.stored.members[action.member].open = 0
         self.state_machine.on_action_ended(action, result, boot_clock_s())
         if number:
-            word = "yes" if result.ok else "no"
+            outcome = "yes" if result.ok else "no"
             self.report_line(
-                f"{action.kind.value} {action.member}: {word}{f', {result.text}' if result.text else ''}"
+                f"{action.kind.value} {action.member}: {outcome}{f', {result.text}' if result.text else ''}"
             )
-        self.store.write_result(self.kept.id, self.kept.release, self.kept.members, number, result)
+        self.store.write_result(self.stored.id, self.stored.release, self.stored.members, number, result)
 
     def report_changes(self) -> None:
         """Report what is new of the release and its members."""
-        release = self.kept.release
-        for member in self.kept.members.values():
+        release = self.stored.release
+        for member in self.stored.members.values():
             if self.reported_phases.get(member.id) is not member.phase:
                 self.reported_phases[member.id] = member.phase
                 note = f" ({member.note})" if member.note else ""
@@ -116,9 +118,11 @@
 async def plan_members(farm: Farm, plan: Plan) -> list[Member]:
     """Who a plan is about, as the farm stands; PlanError if that can't be known."""
     if plan.what == "nodes":
-        short = [node.name for node in farm.nodes if len(node.doors) < 2]
-        if short:
-            raise PlanError([f"nodes: {name} has one door; a successor needs another" for name in short])
+        single_address_nodes = [node.name for node in farm.nodes if len(node.doors) < 2]
+        if single_address_nodes:
+            raise PlanError(
+                [f"nodes: {name} has one door; a successor needs another" for name in single_address_nodes]
+            )
         return [Member(node.name, node.zone, 1.0) for node in farm.nodes]
     listed = await fetch_server_list(farm.discovery)
     if listed is None:
@@ -149,14 +153,16 @@
     """Who runs the new version already, where the plan can ask; PlanError if that leaves nothing to do."""
     if plan.commands.version is None:
         return
-    executor, room = Executor(farm, plan), asyncio.Semaphore(MAX_PARALLEL_VERSION_QUERIES)
+    executor, slots = Executor(farm, plan), asyncio.Semaphore(MAX_PARALLEL_VERSION_QUERIES)
     nodes = (await collect_snapshot(farm, boot_clock_s())).nodes if plan.what == "nodes" else {}
-    doors = {name: node.processes[0].admin_address for name, node in nodes.items() if node.processes}
+    admin_addresses = {
+        name: node.processes[0].admin_address for name, node in nodes.items() if node.processes
+    }
 
     async def ask(member: MemberState) -> str:
-        async with room:
+        async with slots:
             result = await executor.perform(
-                Action(ActionKind.VERSION, member.id, plan.to, doors.get(member.id, ""))
+                Action(ActionKind.VERSION, member.id, plan.to, admin_addresses.get(member.id, ""))
             )
         if not result.ok:
             return f"{member.id}: its version can't be asked: {result.text}"
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -42,31 +42,35 @@
             command_line(words, action.member, action.version, action.admin_address), commands.time_limit_s
         )
 
-    async def call_all_nodes(self, what: str, server: str) -> ActionResult:
+    async def call_all_nodes(self, call: str, server: str) -> ActionResult:
         """A call for a job server at every node: yes if all say yes."""
-        said = await asyncio.gather(*(self.call_node(node.doors, what, server) for node in self.farm.nodes))
-        noes = [
-            f"{node.name}: {why}" for node, why in zip(self.farm.nodes, said, strict=True) if why is not None
+        outcomes = await asyncio.gather(
+            *(self.call_node(node.doors, call, server) for node in self.farm.nodes)
+        )
+        failures = [
+            f"{node.name}: {why}"
+            for node, why in zip(self.farm.nodes, outcomes, strict=True)
+            if why is not None
         ]
-        return ActionResult(not noes, "; ".join(noes))
+        return ActionResult(not failures, "; ".join(failures))
 
-    async def call_node(self, doors: tuple[str, ...], what: str, server: str) -> str | None:
+    async def call_node(self, admin_addresses: tuple[str, ...], call: str, server: str) -> str | None:
         """Why a node did not say yes; its processes share what one of them is told."""
         why = ""
-        for door in doors:
-            status, answer = await call_text(door, "POST", f"/admin/{what}", server.encode())
+        for admin_address in admin_addresses:
+            status, body = await call_text(admin_address, "POST", f"/admin/{call}", server.encode())
             # A node that does not know the server has nothing to call back.
-            if 200 <= status < 300 or (status == 404 and what == "uncordon"):
+            if 200 <= status < 300 or (status == 404 and call == "uncordon"):
                 return None
-            why = f"{status} {answer}" if status else why or answer
+            why = f"{status} {body}" if status else why or body
         return why
 
     async def ping(self, server: str) -> ActionResult:
         line = (self.snapshot.listed or {}).get(server) if self.snapshot is not None else None
         if line is None:
             return ActionResult(False, "not in the list")
-        status, answer = await call_text(line.address, "GET", "/ping")
-        return ActionResult(status == 200, answer if status in (0, 200) else f"{status} to a ping")
+        status, body = await call_text(line.address, "GET", "/ping")
+        return ActionResult(status == 200, body if status in (0, 200) else f"{status} to a ping")
 
 
 async def run_command(words: list[str], seconds: float) -> ActionResult:
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -32,29 +32,31 @@
 
 
 async def collect_node(node: NodeConfig) -> NodeView:
-    found = await asyncio.gather(*(collect_process(door) for door in node.doors))
+    found = await asyncio.gather(*(collect_process(admin_address) for admin_address in node.doors))
     processes = tuple(process for process in found if isinstance(process, ProcessView))
-    silent = [why for why in found if isinstance(why, str)]
-    return NodeView(node.name, processes, "" if processes else silent[0])
+    errors = [why for why in found if isinstance(why, str)]
+    return NodeView(node.name, processes, "" if processes else errors[0])
 
 
-async def collect_process(door: str) -> ProcessView | str:
+async def collect_process(admin_address: str) -> ProcessView | str:
     """The process behind a door, or why there is no answer."""
-    status, health = await call_text(door, "GET", "/admin/health")
+    status, health = await call_text(admin_address, "GET", "/admin/health")
     if not status:
         return health
     try:
-        (said, servers), (told, stats) = await asyncio.gather(
-            call(door, "GET", "/admin/servers"), call(door, "GET", "/admin/stats")
+        (servers_status, servers), (stats_status, stats) = await asyncio.gather(
+            call(admin_address, "GET", "/admin/servers"), call(admin_address, "GET", "/admin/stats")
         )
-        if said not in (200, 404) or told != 200:
-            return f"the door answers {told if said == 200 else said} to a call for figures"
-        lines = json.loads(servers) if said == 200 else {}
-        held = {name: parse_server_counters(line) for name, line in lines.items()}
+        if servers_status not in (200, 404) or stats_status != 200:
+            return f"the admin port answers {stats_status if servers_status == 200 else servers_status} to a request for counters"
+        lines = json.loads(servers) if servers_status == 200 else {}
+        server_counters = {name: parse_server_counters(line) for name, line in lines.items()}
         # A node of the version before has no such call, or does not tell who is out by hand.
-        tells = said == 200 and all("cordoned" in line for line in lines.values())
-        word = "ready" if status == 200 else health
-        return ProcessView(door, word, held, parse_results(stats), tells)
+        reports_servers = servers_status == 200 and all("cordoned" in line for line in lines.values())
+        health_state = "ready" if status == 200 else health
+        return ProcessView(
+            admin_address, health_state, server_counters, parse_results(stats), reports_servers
+        )
     except CallError as error:
         return str(error)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
@@ -64,9 +66,12 @@
 def parse_server_counters(line: dict[str, Any]) -> ServerCounters:
     classes = {
         cls: ResponseCounters(
-            told["ok"], told["failed"], told["unstarted"], Counter(dict(map(tuple, told["took"])))
+            counters["ok"],
+            counters["failed"],
+            counters["unstarted"],
+            Counter(dict(map(tuple, counters["took"]))),
         )
-        for cls, told in line["classes"].items()
+        for cls, counters in line["classes"].items()
     }
     return ServerCounters(line["out"], line.get("cordoned", False), line["started"], classes)
 
@@ -79,7 +84,10 @@
         if name.startswith(RESULTS_PREFIX):
             cls, _, outcome = name.removeprefix(RESULTS_PREFIX).rpartition(".")
             found.setdefault(cls, {})[outcome] = int(value.partition("|")[0])
-    return {cls: (told[OUTCOMES[0]], told[OUTCOMES[1]], told[OUTCOMES[2]]) for cls, told in found.items()}
+    return {
+        cls: (counters[OUTCOMES[0]], counters[OUTCOMES[1]], counters[OUTCOMES[2]])
+        for cls, counters in found.items()
+    }
 
 
 async def fetch_server_list(address: str) -> dict[str, ListedServer] | None:
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -95,10 +95,10 @@
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
             self.db = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
-            form = self.db.execute("PRAGMA user_version").fetchone()[0]
-            if form not in (0, SCHEMA_VERSION):
-                raise StoreError(f"{path}: written by another version of the program (form {form})")
-            if form == 0:
+            schema_version = self.db.execute("PRAGMA user_version").fetchone()[0]
+            if schema_version not in (0, SCHEMA_VERSION):
+                raise StoreError(f"{path}: written by another version of the program (form {schema_version})")
+            if schema_version == 0:
                 self.db.execute("PRAGMA journal_mode = WAL")
                 self.db.executescript(
                     f"BEGIN IMMEDIATE;{TABLES}PRAGMA user_version = {SCHEMA_VERSION};COMMIT;"
@@ -117,8 +117,8 @@
     def acquire_claim(self) -> None:
         """Become the one controller; StoreError if there is another."""
         with self.transaction(claimed=False):
-            found = self.db.execute("SELECT number, holder, boot, renewed FROM claim").fetchone()
-            number, holder, boot, renewed = found or (0, "", "", 0.0)
+            row = self.db.execute("SELECT number, holder, boot, renewed FROM claim").fetchone()
+            number, holder, boot, renewed = row or (0, "", "", 0.0)
             ago = boot_clock_s() - renewed
             if holder and boot == self.boot and ago < LEASE_S:
                 raise StoreError(f"{self.path}: {holder} acts on this farm, last heard of {ago:.1f} s ago")
@@ -135,14 +135,14 @@
 
     def holds_claim(self) -> bool:
         """Whether the claim is still ours, just before an act."""
-        found = self.db.execute("SELECT number FROM claim").fetchone()
-        return found is not None and found[0] == self.fencing_token
+        row = self.db.execute("SELECT number FROM claim").fetchone()
+        return row is not None and row[0] == self.fencing_token
 
     def holder(self) -> str:
         """Who acts on the farm; empty if nobody does."""
-        found = self.db.execute("SELECT holder, boot, renewed FROM claim").fetchone()
-        alive = found and found[1] == self.boot and boot_clock_s() - found[2] < LEASE_S
-        return str(found[0]) if alive else ""
+        row = self.db.execute("SELECT holder, boot, renewed FROM claim").fetchone()
+        alive = row and row[1] == self.boot and boot_clock_s() - row[2] < LEASE_S
+        return str(row[0]) if alive else ""
 
     @contextmanager
     def transaction(self, claimed: bool = True) -> Iterator[None]:
@@ -151,10 +151,10 @@
             self.db.execute("BEGIN IMMEDIATE")
             try:
                 if claimed:
-                    done = self.db.execute(
+                    cursor = self.db.execute(
                         "UPDATE claim SET renewed = ? WHERE number = ?", (boot_clock_s(), self.fencing_token)
                     )
-                    if done.rowcount != 1:
+                    if cursor.rowcount != 1:
                         raise ClaimLost(f"{self.path}: another controller has taken this farm over")
                 yield
             except BaseException:
@@ -170,11 +170,11 @@
         """A new release; its id."""
         text = msgspec.json.encode(plan).decode()
         with self.transaction():
-            done = self.db.execute(
+            cursor = self.db.execute(
                 "INSERT INTO releases (plan, state, boot, began) VALUES (?, ?, ?, ?)",
                 (text, msgspec.json.encode(release).decode(), self.boot, time.time()),
             )
-            number = int(done.lastrowid or 0)
+            number = int(cursor.lastrowid or 0)
             self.write_members(number, members)
         return number
 
@@ -196,7 +196,7 @@
                 if action.kind not in MUTATING_ACTIONS:
                     ids.append(0)
                     continue
-                done = self.db.execute(
+                cursor = self.db.execute(
                     "INSERT INTO acts (release, at, act, member, version, door) VALUES (?, ?, ?, ?, ?, ?)",
                     (
                         number,
@@ -207,7 +207,7 @@
                         action.admin_address,
                     ),
                 )
-                ids.append(int(done.lastrowid or 0))
+                ids.append(int(cursor.lastrowid or 0))
                 members[action.member].open = ids[-1]
             self.save(number, release, members)
         return ids
@@ -244,12 +244,12 @@
     def newest_release(self) -> StoredRelease | None:
         """The last release that was begun, if any was."""
         try:
-            found = self.db.execute(
+            row = self.db.execute(
                 "SELECT id, plan, state, boot, began, ended FROM releases ORDER BY id DESC LIMIT 1"
             ).fetchone()
-            if found is None:
+            if row is None:
                 return None
-            number, plan, state, boot, began, ended = found
+            number, plan, state, boot, began, ended = row
             bodies = self.db.execute("SELECT body FROM members WHERE release = ?", (number,)).fetchall()
             unfinished = self.db.execute(
                 "SELECT id, act, member, version, door FROM acts WHERE release = ? AND ended IS NULL",
@@ -260,7 +260,7 @@
         try:
             release: Release = msgspec.json.decode(state, type=Release)
             members: list[MemberState] = [msgspec.json.decode(body, type=MemberState) for (body,) in bodies]
-            kept_plan: Plan = msgspec.json.decode(plan, type=Plan)
+            stored_plan: Plan = msgspec.json.decode(plan, type=Plan)
         except msgspec.MsgspecError as error:
             raise StoreError(f"{self.path}: release {number}: {error}") from None
         if boot != self.boot:  # the machine has started anew, and its clock with it
@@ -271,7 +271,7 @@
             at: Action(ActionKind(act), member, version, door)
             for at, act, member, version, door in unfinished
         }
-        return StoredRelease(number, kept_plan, release, {m.id: m for m in members}, actions, began, ended)
+        return StoredRelease(number, stored_plan, release, {m.id: m for m in members}, actions, began, ended)
 
     def history(self, number: int) -> list[HistoryLine]:
         rows = self.db.execute(
@@ -287,10 +287,10 @@
 
     def add_order(self, number: int, what: str) -> int:
         with self.transaction(claimed=False):
-            done = self.db.execute(
+            cursor = self.db.execute(
                 "INSERT INTO orders (release, at, what) VALUES (?, ?, ?)", (number, time.time(), what)
             )
-            return int(done.lastrowid or 0)
+            return int(cursor.lastrowid or 0)
 
     def pending_orders(self, number: int) -> list[tuple[int, str]]:
         """Those that nobody has taken yet, in their order."""
@@ -299,11 +299,11 @@
         )
         return [(int(at), str(what)) for at, what in rows]
 
-    def record_order_result(self, order: int, said: str) -> None:
+    def record_order_result(self, order: int, result: str) -> None:
         """Within a transaction of the claim's holder, or the order is taken and not kept."""
-        self.db.execute("UPDATE orders SET taken = ?, said = ? WHERE id = ?", (time.time(), said, order))
+        self.db.execute("UPDATE orders SET taken = ?, said = ? WHERE id = ?", (time.time(), result, order))
 
     def order_result(self, order: int) -> str | None:
         """What the controller said to an order; empty: done; None: nothing yet."""
-        found = self.db.execute("SELECT taken, said FROM orders WHERE id = ?", (order,)).fetchone()
-        return None if found is None or found[0] is None else str(found[1])
+        row = self.db.execute("SELECT taken, said FROM orders WHERE id = ?", (order,)).fetchone()
+        return None if row is None or row[0] is None else str(row[1])
--- a/flaxstep/rollout/limits.py
+++ b/flaxstep/rollout/limits.py
@@ -21,11 +21,13 @@
 
     Who comes is taken for one of the version before, and goes with the last wave, as nobody planned it.
     """
-    come = [line for line in listed.values() if line.id not in members]
+    joined = [line for line in listed.values() if line.id not in members]
     for member in members.values():
         line = listed.get(member.id)
         if line is None:
-            replaced = member.phase in NOT_EXPECTED_TO_SERVE and any(new.zone == member.zone for new in come)
+            replaced = member.phase in NOT_EXPECTED_TO_SERVE and any(
+                new.zone == member.zone for new in joined
+            )
             if member.phase is Phase.SERVING or replaced:
                 member.phase, member.note = Phase.GONE, "no longer listed"
         elif member.phase in (Phase.SERVING, Phase.WARMING):
@@ -38,7 +40,7 @@
             member.phase, member.note = Phase.SERVING, "listed again"
             member.crashes += 1
     last = max((member.wave for member in members.values()), default=0)
-    for line in come:
+    for line in joined:
         note = "came during the release"
         members[line.id] = MemberState(
             line.id, line.zone, line.size, version, wave=last, started=line.started_ms, note=note
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -48,10 +48,10 @@
         member.asked = now
         return action
 
-    def begin_restart(self, member: MemberState, now: float, door: str = "") -> Action:
+    def begin_restart(self, member: MemberState, now: float, admin_address: str = "") -> Action:
         member.lost, member.before = False, member.started
         member.enter_phase(Phase.RESTARTING, now)
-        return Action(ActionKind.RESTART, member.id, member.target, door)
+        return Action(ActionKind.RESTART, member.id, member.target, admin_address)
 
     def on_result_lost(self, member: MemberState, action: Action, now: float) -> None:
         """An action whose result nobody has. All but the command are simply made again."""
@@ -111,15 +111,17 @@
 
     def wait_until_drained(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         """Nothing in flight, as every node said after the cordon: now the command."""
-        out = snapshot.in_flight(member.id) if snapshot.taken_at_s > member.since else None
-        if out is not None and not snapshot.cordoned_everywhere(member.id):
+        in_flight = snapshot.in_flight(member.id) if snapshot.taken_at_s > member.since else None
+        if in_flight is not None and not snapshot.cordoned_everywhere(member.id):
             member.enter_phase(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
             return Action(ActionKind.CORDON, member.id)
-        if out == 0:
+        if in_flight == 0:
             return self.begin_restart(member, now)
         if now - member.since > self.times.drain_s:
-            left = "not every node answers" if out is None else f"{out} requests are in flight there"
-            self.cancel_update(member, now, f"not empty after {self.times.drain_s:g} s: {left}")
+            remaining = (
+                "not every node answers" if in_flight is None else f"{in_flight} requests are in flight there"
+            )
+            self.cancel_update(member, now, f"not empty after {self.times.drain_s:g} s: {remaining}")
         return None
 
     def restart_again(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
@@ -170,10 +172,10 @@
         if member.proved <= 2 and self.available.check:
             return self.rate_limited(member, Action(ActionKind.CHECK, member.id, member.target), now)
         line = (snapshot.listed or {}).get(member.id)
-        fresh = line is not None and (
+        start_is_listed = line is not None and (
             line.started_ms != member.before or now - member.since > self.times.list_update_s
         )
-        if line is None or line.lifecycle != "active" or not fresh:
+        if line is None or line.lifecycle != "active" or not start_is_listed:
             member.note = "the list does not have it yet"
             return None
         member.version, member.started = member.target, line.started_ms
@@ -280,8 +282,8 @@
         _, successor = self.current_and_successor_address(member)
         process = snapshot.nodes[member.id].process_at(successor)
         if now - member.since > self.times.ready_s:
-            said = process.health if process else "no answer at its door"
-            fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or said}"
+            health = process.health if process else "no answer at its door"
+            fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or health}"
             self.mark_failed(member, now, fault)
         elif process is not None and process.ready:
             if member.proved == 0 and self.available.version:
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -42,7 +42,7 @@
         plan: Plan,
         release: Release,
         members: dict[str, MemberState],
-        doors: Mapping[str, tuple[str, ...]],
+        admin_addresses: Mapping[str, tuple[str, ...]],
     ) -> None:
         self.plan, self.release, self.members = plan, release, members
         watch, commands = plan.watch, plan.commands
@@ -53,7 +53,9 @@
             watch.warm_s,
             poll_interval_s=0.9 * watch.look_s,
         )
-        available = AvailableCommands(commands.version is not None, commands.check is not None, dict(doors))
+        available = AvailableCommands(
+            commands.version is not None, commands.check is not None, dict(admin_addresses)
+        )
         self.member_steps: MemberSteps = (
             ServerSteps(times, available) if plan.what == "servers" else NodeSteps(times, available)
         )
@@ -114,14 +116,14 @@
         """What an action came to."""
         self.member_steps.on_action_ended(self.members[action.member], action, result, now)
 
-    def recover(self, left: Iterable[Action], now: float) -> None:
+    def recover(self, unfinished: Iterable[Action], now: float) -> None:
         """Go on where a controller that was killed has stopped. `left`: its acts that have no result."""
         self.release.looked, self.release.waiting = -1.0, ""
         for member in self.members.values():
             member.open, member.asked = 0, -1e9
             if member.phase not in (Phase.SERVING, Phase.GONE, Phase.WARMING, Phase.DOWN):
                 member.since = now  # its time runs anew: nobody looked meanwhile
-        for action in left:
+        for action in unfinished:
             self.member_steps.on_result_lost(self.members[action.member], action, now)
 
     # Forward.
@@ -167,21 +169,29 @@
                 reason = f"{member.id} is out by somebody else's hand"
             else:
                 self.member_steps.begin_update(member, version, now)
-        at_rest = (Phase.SERVING, Phase.DOWN, Phase.GONE)
-        return reason if all(m.phase in at_rest for m in self.members.values()) else ""
+        idle_phases = (Phase.SERVING, Phase.DOWN, Phase.GONE)
+        return reason if all(m.phase in idle_phases for m in self.members.values()) else ""
 
     def candidates(self, version: str) -> list[MemberState]:
         """Who may set out for a version now, in this order."""
         if version == self.plan.to:
-            may = {Phase.SERVING, Phase.DOWN}
-            return [m for m in self.wave_members.current_wave() if m.version != version and m.phase in may]
+            eligible_phases = {Phase.SERVING, Phase.DOWN}
+            return [
+                m
+                for m in self.wave_members.current_wave()
+                if m.version != version and m.phase in eligible_phases
+            ]
         # A bad version need not warm up first. Who is out costs no room; of the others the smallest first.
-        may = {Phase.SERVING, Phase.WARMING}
+        eligible_phases = {Phase.SERVING, Phase.WARMING}
         if self.plan.what == "servers":
-            may |= {Phase.DOWN, Phase.UNCORDONING}
-        back = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
-        back = [m for m in back if m.phase in may and not m.open and not self.rollback_failed(m)]
-        return sorted(back, key=lambda m: (not m.out_of_service, m.phase is Phase.SERVING, m.size, m.id))
+            eligible_phases |= {Phase.DOWN, Phase.UNCORDONING}
+        candidates = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
+        candidates = [
+            m for m in candidates if m.phase in eligible_phases and not m.open and not self.rollback_failed(m)
+        ]
+        return sorted(
+            candidates, key=lambda m: (not m.out_of_service, m.phase is Phase.SERVING, m.size, m.id)
+        )
 
     def rollback_failed(self, member: MemberState) -> bool:
         """It could not be brought back to the version before either."""
@@ -249,7 +259,7 @@
     def finished(self) -> bool:
         """Whether nothing is left to be done."""
         down = Phase.DOWN if self.plan.what == "servers" else Phase.SERVING
-        rest = (Phase.SERVING, Phase.GONE, down)
+        final_phases = (Phase.SERVING, Phase.GONE, down)
         return self.release.state in END_STATES and all(
-            m.phase in rest and not m.open for m in self.members.values()
+            m.phase in final_phases and not m.open for m in self.members.values()
         )
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -47,10 +47,10 @@
             return ""
         released = {m.id for m in self.wave_members.all_members() if m.version == self.plan.to}
         cold = {m.id for m in self.wave_members.all_members() if m.phase is not Phase.SERVING}
-        seen = list(self.evidence.member_samples(found, released, cold))
+        samples = list(self.evidence.member_samples(found, released, cold))
         if 0 <= self.seconds_since_suspicion(now) < self.plan.watch.doubt_s:
-            seen = [line for line in seen if not line.released]  # what met the machine shall pass first
-        assessment = self.analysis.update(seen)
+            samples = [line for line in samples if not line.released]  # what met the machine shall pass first
+        assessment = self.analysis.update(samples)
         release.stake, release.wanted = assessment.stake, assessment.threshold
         why = self.apply_assessment(assessment, passed, now) if release.state is State.IN_PROGRESS else ""
         release.bets = self.analysis.to_state()
