--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -1,4 +1,4 @@
-"""`flaxstep release`: staged releases of job servers and nodes, with a halt and a way back."""
+"""`flaxstep release`: staged releases of job servers and nodes, with canary analysis, halt and rollback."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from flaxstep.rollout.release import State
 
 EXIT_STOPPED = 130
-ORDER_TIMEOUT_S = 5.0  # s to wait for a controller's answer to an order
+ORDER_TIMEOUT_S = 5.0  # how long to wait for a controller to process an order
 FARM = click.option(
     "--farm", "farm_path", type=click.Path(path_type=Path), default=Path("farm.toml"), show_default=True,
     help="The farm file.",
@@ -37,16 +37,16 @@
 
 @click.group()
 def release() -> None:
-    """Staged releases: a canary, then waves, judged beside the rest, with a halt and a way back.
+    """Staged releases: a canary, then waves, compared with the other members, with halt and rollback.
 
-    Exit codes: 0 done; 1 it halted, went back or gave up, or there is no room; 2 it can't be done;
-    130 the controller was ended, and 'run' goes on from where it stood.
+    Exit codes: 0 done; 1 it halted, went back or gave up, or 'check' found that it can't begin now;
+    2 the command can't be carried out; 130 the controller was stopped, and 'run' resumes the release.
     """
 
 
 @contextmanager
 def report_errors() -> Iterator[None]:
-    """What can't be done is a line (a fault each, of plans), not a traceback."""
+    """Report errors of plans and of the state file as lines, one for each fault, without a traceback."""
     try:
         yield
     except (PlanError, StoreError) as error:
@@ -58,7 +58,7 @@
 @FARM
 @JSON
 def check_command(plan_path: Path, farm_path: Path, as_json: bool) -> None:
-    """Say what each wave of PLAN would do on the live farm, and whether there is room. Nothing is changed.
+    """Show what each wave of PLAN would do on the live farm, and whether it may begin. Changes nothing.
 
     Example: flaxstep release check v2.toml --farm farm.toml
     """
@@ -73,7 +73,7 @@
 
 
 class WaveLine(msgspec.Struct):
-    """What a wave would do."""
+    """What a wave would do, in `check --json`."""
 
     zone: str
     members: list[str]
@@ -83,7 +83,7 @@
 
 
 class Survey(msgspec.Struct):
-    """What `check` found; `reasons` speak against beginning now."""
+    """The result of `check`. `reasons` are why the release should not begin now."""
 
     plan: str
     what: str
@@ -102,12 +102,14 @@
         largest = sorted((member.size for member in wave.members), reverse=True)[: max(count, 1)]
         left = 1 - sum(largest) / whole if plan.what == "servers" else 1.0
         if not count:
-            reasons.append(f"wave {number}: no room for one: {left:.2f} of the capacity would stay")
+            reasons.append(
+                f"wave {number}: not enough capacity for even one member to be out: {left:.2f} would remain"
+            )
         least = plan.watch.bake_s + -(-len(wave.members) // max(count, 1)) * plan.watch.warm_s
         lines.append(WaveLine(wave.zone, [m.id for m in wave.members], count, round(left, 4), least))
     if plan.what == "servers":
         taken = [member.id for member in members if snapshot.cordoned_anywhere(member.id)]
-        reasons += [f"{name} is out by somebody's hand" for name in taken]
+        reasons += [f"{name} was cordoned by somebody" for name in taken]
     return Survey(plan.name, plan.what, plan.to, lines, reasons)
 
 
@@ -122,15 +124,15 @@
     console.print(table)
     for reason in found.reasons:
         console.print(f"not now: {reason}")
-    console.print("not fit to begin" if found.reasons else "there is room; nothing speaks against it now")
+    console.print("the release should not begin now" if found.reasons else "the release can begin now")
 
 
 @release.command("run")
 @click.argument("plan_path", metavar="PLAN", type=click.Path(path_type=Path))
 @FARM
-@click.option("--on-bad", type=click.Choice(["back", "hold"]), help="In place of what the plan says.")
+@click.option("--on-bad", type=click.Choice(["back", "hold"]), help="Overrides on_bad of the plan.")
 def run_command(plan_path: Path, farm_path: Path, on_bad: Literal["back", "hold"] | None) -> None:
-    """Carry PLAN out, or go on with it where a controller that was ended has left it.
+    """Carry out PLAN, or resume it where a controller was stopped.
 
     Example: flaxstep release run v2.toml --farm farm.toml --on-bad hold
     """
@@ -147,7 +149,7 @@
         except ClaimLost:
             raise
         except (KeyboardInterrupt, asyncio.CancelledError):
-            click.echo("flaxstep: ended; 'release run' goes on from here", err=True)
+            click.echo("flaxstep: stopped; 'release run' resumes the release", err=True)
         finally:
             store.release_claim()
             store.close()
@@ -202,7 +204,7 @@
 
 
 class Status(msgspec.Struct):
-    """`status --json`. `stake` of `wanted`: how far the judgement is from a halt."""
+    """The newest release, in `status --json`. The version is halted when `stake` reaches `wanted`."""
 
     release: int
     plan: str
@@ -223,7 +225,7 @@
 @FARM
 @JSON
 def status_command(farm_path: Path, as_json: bool) -> None:
-    """Where the newest release of the farm stands."""
+    """Show the newest release of the farm."""
     with report_errors():
         store, stored = open_newest_release(farm_path)
         holder, state = store.holder(), stored.release
@@ -234,7 +236,8 @@
     ]
     last = max((line.wave for line in members), default=1)
     status = Status(
-        stored.id, stored.plan.name, state.state.value, state.why, state.waiting, min(state.wave + 1, last), last,
+        stored.id, stored.plan.name, state.state.value, state.why, state.waiting,
+        min(state.wave + 1, last), last,
         round(state.baked, 1), round(state.stake, 3), state.wanted, state.served, holder, members,
     )  # fmt: skip
     if as_json:
@@ -252,8 +255,8 @@
         console.print(f"waiting: {status.waiting}")
     served = "unknown" if status.served is None else f"{status.served:.2f}"
     halt = f"{status.stake:.2g} of the {status.wanted:g} that halt it" if status.wanted else "none yet"
-    console.print(f"served of what is asked for: {served}; evidence against the version: {halt}")
-    console.print(f"controller: {status.controller or 'none runs'}")
+    console.print(f"served share of the requested worth: {served}; evidence against the version: {halt}")
+    console.print(f"controller: {status.controller or 'none is running'}")
     table = Table("member", "zone", "wave", "runs", "is", "note")
     for line in status.members:
         table.add_row(line.id, line.zone, str(line.wave), line.version, line.phase, line.note)
@@ -264,7 +267,7 @@
 @FARM
 @JSON
 def history_command(farm_path: Path, as_json: bool) -> None:
-    """Every act of the newest release: when, at whom, and what came of it."""
+    """Show every action of the newest release: when, for which member, and its result."""
     with report_errors():
         store, stored = open_newest_release(farm_path)
         lines = store.history(stored.id)
@@ -276,13 +279,13 @@
     for line in lines:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(line.at))
         took = "" if line.ended is None else f"{line.ended - line.at:.2f} s"
-        result = "under way, or lost" if line.ok is None else "yes" if line.ok else f"no: {line.said}"
+        result = "in progress, or lost" if line.ok is None else "yes" if line.ok else f"no: {line.said}"
         table.add_row(at, line.act, line.member, line.version, took, result)
     Console(highlight=False, width=110).print(table)
 
 
 def send_order(farm_path: Path, what: str) -> None:
-    """Leave an order, and say what came of it."""
+    """Store an order, wait for a controller to process it, and report the result."""
     with report_errors():
         store, stored = open_newest_release(farm_path)
         try:
@@ -290,14 +293,14 @@
                 raise CommandError(f"release {stored.id} is over: {stored.release.state.value}")
             number, end = store.add_order(stored.id, what), time.monotonic() + ORDER_TIMEOUT_S
             if not store.holder():
-                click.echo(f"{what}: kept; no controller runs, 'flaxstep release run' carries it out")
+                click.echo(f"{what}: stored; no controller runs, 'flaxstep release run' carries it out")
                 return
             while (result := store.order_result(number)) is None and time.monotonic() < end:
                 time.sleep(0.1)
         finally:
             store.close()
     if result is None:
-        raise CommandError(f"{what}: the controller has not answered within {ORDER_TIMEOUT_S:g} s")
+        raise CommandError(f"{what}: the controller has not responded within {ORDER_TIMEOUT_S:g} s")
     if result:
         raise CommandError(f"{what}: no, {result}")
     click.echo(f"{what}: done")
@@ -306,34 +309,34 @@
 @release.command("pause")
 @FARM
 def pause_command(farm_path: Path) -> None:
-    """Send nothing further out; what is out comes back."""
+    """Pause the release: no further updates begin, and members that are out of service return."""
     send_order(farm_path, "pause")
 
 
 @release.command("resume")
 @FARM
 def resume_command(farm_path: Path) -> None:
-    """Go on after a pause, a halt, or when it gave up. After a halt the judgement begins anew."""
+    """Resume after a pause, after a halt, or after it gave up. After a halt the analysis starts anew."""
     send_order(farm_path, "resume")
 
 
 @release.command("back")
 @FARM
 def back_command(farm_path: Path) -> None:
-    """Bring what is released back to the version before."""
+    """Roll the released members back to the old version."""
     send_order(farm_path, "back")
 
 
 @release.command("close")
 @FARM
 def close_command(farm_path: Path) -> None:
-    """End a release that halted or gave up, as it stands; another can begin then."""
+    """Close a release that halted or gave up, as it is, so that another can begin."""
     with report_errors():
         store, stored = open_newest_release(farm_path)
         try:
             if stored.ended is None and stored.release.state not in (State.HALTED, State.ABANDONED):
                 raise CommandError(
-                    f"release {stored.id} is {stored.release.state.value}: pause it, or call it back"
+                    f"release {stored.id} is {stored.release.state.value}: pause it, or roll it back"
                 )
             store.acquire_claim()
             store.close_release(stored.id, stored.release, stored.members)
--- a/flaxstep/command_error.py
+++ b/flaxstep/command_error.py
@@ -1,4 +1,4 @@
-"""How a command says that it can't do what was asked."""
+"""The error that a command reports when it cannot do what was asked."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CommandError(click.ClickException):
-    """What was asked can't be done: one line, exit code 2."""
+    """The command cannot do what was asked: one line on standard error, exit code 2."""
 
     exit_code = 2
 
