--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -1,8 +1,8 @@
 """How often the analysis of releases halts a good version, and how soon a bad one, over drawn releases.
 
 From the root: .venv-lab/bin/python -B -m benchmarks.releases [COUNT]. Farms, load, machines' differences,
-spells in which one machine is slow, and the versions are drawn; the analysis sees counts of one second each, as
-it will live.
+spells in which one machine is slow, and the versions are drawn; the analysis sees counts of one second each,
+as it will live.
 """
 
 from __future__ import annotations
--- a/flaxstep/rollout/__init__.py
+++ b/flaxstep/rollout/__init__.py
@@ -1,2 +1,1 @@
-"""Staged releases of job servers and nodes: the deciding part, without sockets, files or clocks of its
-own."""
+"""Staged releases of job servers and nodes: the decisions, without sockets, files or clocks of their own."""
--- a/flaxstep/rollout/actions.py
+++ b/flaxstep/rollout/actions.py
@@ -1,4 +1,4 @@
-"""What a release wants done, what came of it, and where each member stands. Values alone."""
+"""The actions of a release, their results, and the state of a member. Values only."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 
 
 class ActionKind(Enum):
-    """What can be asked of the rim. The first four change something, and are written down before."""
+    """The kinds of actions. The first four change something: their intent is written before they are
+    performed. The values are stored.
+    """
 
     CORDON = "cordon"
     UNCORDON = "uncordon"
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """`version` for commands, `door` where a process of a node is meant."""
+    """An action for one member. `version` is for commands, `admin_address` for those of a node's process."""
 
     kind: ActionKind
     member: str
@@ -35,7 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionResult:
-    """`text` is what a command wrote, or why it is a no; `known` is false where nobody can tell."""
+    """The result of an action.
+
+    `text` is the output of a command, or the reason of a failure. `outcome_known` is False if the action may
+    or may not have had its effect.
+    """
 
     ok: bool
     text: str = ""
@@ -58,12 +64,15 @@
     GONE = "left the farm"
 
 
-BEFORE_RESTART = frozenset({Phase.CORDONING, Phase.DRAINING})  # nothing has been done that must be finished
+BEFORE_RESTART = frozenset({Phase.CORDONING, Phase.DRAINING})  # an update can be cancelled in these
 IN_SERVICE = frozenset({Phase.SERVING, Phase.WARMING})
 
 
 class MemberState(msgspec.Struct):
-    """Where a member stands. `target` is the version that its trip leads to; `version` what it runs."""
+    """The state of a member, stored with the release; times in s of the controller's clock.
+
+    `version` is what it runs, `target` the version that its update leads to.
+    """
 
     id: str
     zone: str
@@ -71,19 +80,19 @@
     version: str
     target: str = ""
     phase: Phase = Phase.SERVING
-    since: float = 0.0  # s, of the phase
+    since: float = 0.0  # start of the phase
     wave: int = 0
-    started: int = 0  # the list's start of its process
-    before: int = 0  # the same, when its command was about to run
-    untold: bool = False  # the list has yet to tell of that start
-    door: int = 0  # of a node: which of its doors
-    proved: int = 0  # how much of the proof is done
-    asked: float = -1e9  # s, when something was last asked about it
-    open: int = 0  # the id of its act that has no result yet
-    lost: bool = False  # its command's result is unknown: the controller was killed
+    started: int = 0  # start time of its process in Unix ms, as listed
+    before: int = 0  # `started` before its restart command; -1: none
+    untold: bool = False  # the list does not have the new start time yet
+    door: int = 0  # of a node: the index of its admin address
+    proved: int = 0  # how many checks after the restart have passed
+    asked: float = -1e9  # when it was last queried
+    open: int = 0  # id of its action that is in progress; 0: none
+    lost: bool = False  # the result of its command is unknown: the controller was killed
     tries: int = 0
     crashes: int = 0
-    fault: str = ""  # what speaks against the version that it was to get
+    fault: str = ""  # evidence against the version that it was to get
     note: str = ""
 
     def enter_phase(self, phase: Phase, now: float, note: str | None = None) -> None:
@@ -93,26 +102,26 @@
 
     @property
     def out_of_service(self) -> bool:
-        """Whether it does nothing for the farm just now."""
+        """Whether it serves nothing at the moment, though it belongs to the farm."""
         return self.phase not in IN_SERVICE and self.phase is not Phase.GONE
 
 
 @dataclass(frozen=True, slots=True)
 class StepTimes:
-    """s, from the plan."""
+    """Time limits and intervals, from the plan."""
 
     command_s: float
     ready_s: float
     drain_s: float
     warm_s: float
-    list_update_s: float = 10.0  # for news of the list to reach everybody
-    poll_interval_s: float = 1.0  # between one question and the next
+    list_update_s: float = 10.0  # time for a change of the list to reach every node
+    poll_interval_s: float = 1.0  # minimum time between two queries of a member
 
 
 @dataclass(slots=True)
 class AvailableCommands:
-    """Which commands the plan has beside the restart."""
+    """Which optional commands the plan has, and where nodes have their admin ports."""
 
     version: bool = False
     check: bool = False
-    admin_addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)  # of nodes
+    admin_addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by node name
--- a/flaxstep/rollout/canary_analysis.py
+++ b/flaxstep/rollout/canary_analysis.py
@@ -1,12 +1,12 @@
-"""The judgement of a release: what was released beside the rest, over the same stretch of time. No I/O, no
-clock.
-
-Each look brings what every member answered since the one before. Two things are judged: failures, and answers
-that are slow by the member's own measure from before the release, so that machines may differ and load may
-move all of them together. The released members' counts are test against what the rest leads to expect; a test
-that multiplies its stake by 2 / `false_halt` says that the version is bad. Bets are counted from the
-release's beginning to its end and never started anew, so that looking often, or at many waves, adds nothing
-to the chance of a false halt.
+"""Canary analysis: compares the released members with the others over the same time. No I/O, no clock.
+
+Each update takes the responses of every member since the previous one. Two things are tested: failed
+responses, and responses that are slow by the member's own threshold from before the release, so that machines
+may differ and load may slow all of them together. Each is a sequential test by betting: the released members'
+counts are bet against the counts that the baseline (the members that are not released) leads to expect. A bet
+that multiplies its stake by 2 / `false_halt` means that the version is bad. A test runs from the beginning of
+the release to its end and is never restarted, so frequent updates or many waves do not raise the
+false-positive rate.
 """
 
 from __future__ import annotations
@@ -18,15 +18,22 @@
 
 import msgspec
 
-BET_FACTORS = (1.3, 1.6, 2.0, 3.0, 6.0, 12.0)  # how many times the expected share each test is on
-MAX_BET_SHARE = 0.98  # a share above this is not test on: one answer the other way would ruin the stake
-PRIOR_MEMBERS = 4.0  # members that a spread of 1 is worth before any was seen
-RECENT_SNAPSHOTS = 10.0  # looks over which the rest's failures are averaged: what meets the farm meets all
-SECOND_ANALYSIS_THRESHOLD = (
-    20.0  # what convinces of one found bad before: a spell that has passed does so 1 in 10 times
-)
-IGNORED_WORST_SHARE = 0.3  # of the released, left out: machines that have turned bad by themselves
-MIN_BASELINE_RESPONSES = 50  # answers of the rest below which a look is not counted: nothing to compare with
+# Each bet is that the counted share is this many times the expected one.
+BET_FACTORS = (1.3, 1.6, 2.0, 3.0, 6.0, 12.0)
+# Shares above this are not bet on: one response to the contrary would lose the whole stake.
+MAX_BET_SHARE = 0.98
+# Weight, in members, of the prior assumption that the members do not differ beyond chance.
+PRIOR_MEMBERS = 4.0
+# Updates over which recent baseline failures are averaged, so that a burst that hits the whole farm is
+# expected of the released members too.
+RECENT_SNAPSHOTS = 10.0
+# A lower threshold suffices for a member that was found bad once: a transient slowdown that has passed
+# exceeds it 1 time in 10.
+SECOND_ANALYSIS_THRESHOLD = 20.0
+# This share of the released members, the worst, is ignored: machines fail for reasons of their own.
+IGNORED_WORST_SHARE = 0.3
+# With fewer baseline responses there is nothing to compare with, and the update does not count.
+MIN_BASELINE_RESPONSES = 50
 
 
 class Finding(Enum):
@@ -37,11 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSample:
-    """What one member answered since the last look.
+    """One member's responses since the last update.
 
-    `slow` counts answers above the member's own mark, taken before the release; a released member's mark is
-    raised by what the plan lets pass. `usual` is the share of slow answers that it had then. While a member
-    is cold its answers count for nothing: it is slow whatever it runs, and its clients give up.
+    `slow` counts responses above the member's own latency threshold, taken before the release; that of a
+    released member is raised by the slowdown that the plan tolerates. `baseline_slow_share` is the share of
+    slow responses at the time of that measurement. Responses of a cold member are ignored: it is slow
+    whatever version it runs, and its clients time out.
     """
 
     member: str
@@ -55,7 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """`stake` is what the better test has stake_on to, `wanted` what ends the release."""
+    """The result of an update. `stake` is the larger stake of the two tests; at `threshold` the version is
+    bad.
+    """
 
     finding: Finding
     stake: float
@@ -65,23 +75,28 @@
 
 @dataclass(slots=True)
 class MemberCounts:
-    """One member's counts since the release began."""
+    """One member's counts since the release began. Stored with the release; the field names are part of that
+    format.
+    """
 
     answers: int = 0
-    counted: int = 0  # failed or slow
+    counted: int = 0  # failed or slow responses
     expected: float = 0.0
 
 
 @dataclass(slots=True)
 class SequentialTest:
-    """One thing that is judged: counts against what was expected of them."""
+    """A sequential test by betting: counts of bad responses against the number expected of them.
+
+    Stored with the release; the field names are part of that format. `rest` holds the baseline members.
+    """
 
     name: str
     rest: dict[str, MemberCounts] = field(default_factory=dict)
     released: dict[str, MemberCounts] = field(default_factory=dict)
 
     def add(self, member: str, released: bool, answers: int, counted: int, share: float) -> None:
-        """A member's answers, and the share of them that the rest leads to expect."""
+        """Add a member's responses; `share` is the bad share that the baseline leads to expect."""
         group = self.released if released else self.rest
         score = group.setdefault(member, MemberCounts())
         score.answers += answers
@@ -89,7 +104,7 @@
         score.expected += answers * share
 
     def overdispersion(self) -> float:
-        """How much more the rest differ among themselves than chance would have it; 1 if they don't."""
+        """How much more the baseline members differ among themselves than by chance; 1 if they do not."""
         deviations, count = PRIOR_MEMBERS, PRIOR_MEMBERS
         for score in self.rest.values():
             if score.expected > 0 and score.answers > score.expected:
@@ -99,27 +114,28 @@
         return max(1.0, deviations / count)
 
     def stake(self) -> float:
-        """What 1 staked on 'worse' has become. Under a version as good as the rest it seldom grows.
+        """What a stake of 1 on 'worse than the baseline' has become; it seldom grows if the version is as
+        good.
 
-        Where several are released it is what the others say without the worst of them: machines that turn bad
-        by themselves are no reason to halt what runs well on the rest.
+        With several released members, the worst of them are left out: machines that fail for reasons of their
+        own must not halt a version that runs well on the others.
         """
         members_counts = sorted(self.released.values(), key=lambda score: score.counted - score.expected)
         left_out = math.ceil(IGNORED_WORST_SHARE * len(members_counts)) if len(members_counts) > 1 else 0
         return self.stake_on(members_counts[: len(members_counts) - left_out])
 
     def stake_on(self, members_counts: Sequence[MemberCounts]) -> float:
-        """What 1 staked on these members' counts has become."""
+        """What a stake of 1 on the counts of these members has become."""
         answers = sum(score.answers for score in members_counts)
         counted = sum(score.counted for score in members_counts)
         expected = sum(score.expected for score in members_counts)
         baseline = sum(score.answers for score in self.rest.values())
         if not answers or not baseline or expected <= 0:
             return 1.0
-        # What is expected is itself known only as well as the rest's answers tell.
+        # The expected share is an estimate itself, only as exact as the number of baseline responses allows.
         uncertainty = self.overdispersion() * (1 + answers / baseline)
         share = min(expected / answers, MAX_BET_SHARE)
-        stakes = [1.0]  # the part of the stake that is not test
+        stakes = [1.0]  # the part of the stake that is not bet
         for factor in BET_FACTORS:
             worse = min(share * factor, MAX_BET_SHARE)
             if worse <= share:
@@ -131,18 +147,22 @@
 
 
 class CanaryAnalysis:
-    """`failures` is the share of failed answers, beyond the rest's, that nobody minds."""
+    """Tests the released members of a release against the others.
+
+    `tolerated_failure_share` is the share of failed responses, beyond that of the baseline, that is accepted.
+    """
 
     def __init__(self, false_halt: float, tolerated_failure_share: float) -> None:
-        self.default_threshold = self.threshold = 2.0 / false_halt  # two bets share the chance
+        # Each of the two tests gets half of the false-positive rate.
+        self.default_threshold = self.threshold = 2.0 / false_halt
         self.tolerated_failure_share = tolerated_failure_share
         self.tests = (SequentialTest("failures"), SequentialTest("slow answers"))
-        self.baseline_failed = self.baseline_responses = 0  # of the rest so far
-        self.recent = [0.0, 0.0]  # the same, of the last looks
-        self.has_baseline = False  # whether the last look had something to compare with
+        self.baseline_failed = self.baseline_responses = 0  # of the baseline since the release began
+        self.recent = [0.0, 0.0]  # failed and all baseline responses, averaged over the last updates
+        self.has_baseline = False  # whether the last update had enough baseline responses
 
     def update(self, samples: Sequence[MemberSample]) -> Assessment:
-        """Take up what was seen since the last look, and say what it comes to."""
+        """Add the responses of the members since the last update, and assess the version."""
         samples = [line for line in samples if not line.cold]
         baseline = [line for line in samples if not line.released]
         self.baseline_failed += sum(line.failed for line in baseline)
@@ -154,7 +174,7 @@
             return Assessment(
                 Finding.INSUFFICIENT_DATA,
                 *self.stake_and_threshold(),
-                "too few answers of members that are not released",
+                "too few responses of members that are not released",
             )
         failure_test, slow_test = self.tests
         failed, answers = self.recent
@@ -179,7 +199,7 @@
         return self.assessment()
 
     def to_state(self) -> dict[str, object]:
-        """All that it has seen, as JSON can say it: a release outlives its controller."""
+        """The whole state, as values that JSON can hold: a release outlives its controller."""
         return {
             "failed": self.baseline_failed,
             "answers": self.baseline_responses,
@@ -189,7 +209,7 @@
         }
 
     def load_state(self, state: dict[str, object]) -> None:
-        """Go on from there."""
+        """Restore what `to_state` returned."""
         self.baseline_failed = msgspec.convert(state["failed"], int)
         self.baseline_responses = msgspec.convert(state["answers"], int)
         self.recent = msgspec.convert(state["recent"], list[float])
@@ -198,17 +218,17 @@
 
     @property
     def single_member(self) -> bool:
-        """Whether all that speaks against the version comes from one machine."""
+        """Whether only one member, or none, has been released, so that all evidence is from one machine."""
         return max(len(test.released) for test in self.tests) < 2
 
     def begin_second_analysis(self) -> None:
-        """Forget what the released have answered so far; what the rest have stands. Less convinces now."""
+        """Discard the counts of the released members, keep those of the baseline, and lower the threshold."""
         self.threshold = SECOND_ANALYSIS_THRESHOLD
         for test in self.tests:
             test.released.clear()
 
     def end_second_analysis(self) -> None:
-        """The second look found nothing: as much as ever is wanted."""
+        """Restore the default threshold: the second analysis did not confirm the first."""
         self.threshold = self.default_threshold
 
     def stake_and_threshold(self) -> tuple[float, float]:
@@ -220,14 +240,14 @@
         counted = sum(score.counted for score in test.released.values())
         answers = sum(score.answers for score in test.released.values())
         expected = sum(score.expected for score in test.released.values())
-        why = f"{test.name}: {counted} of {answers} answers, {expected:.0f} expected by the rest"
+        why = f"{test.name}: {counted} of {answers} responses, {expected:.0f} expected from the rest"
         return Assessment(
             Finding.BAD if stake >= self.threshold else Finding.GOOD, stake, self.threshold, why
         )
 
 
 def baseline_slowdown(baseline: Iterable[MemberSample]) -> float:
-    """How slow answers of the rest have become, all members together: load moves them all."""
+    """How many times the usual number of slow responses the baseline has: load affects all members alike."""
     lines = list(baseline)
     usual = sum(line.responses * line.baseline_slow_share for line in lines)
     return (sum(line.slow for line in lines) + 1) / (usual + 1)
--- a/flaxstep/rollout/config_decoding.py
+++ b/flaxstep/rollout/config_decoding.py
@@ -1,4 +1,4 @@
-"""Reading a table from TOML or JSON into a typed object, with every fault told at once, each with its key."""
+"""Decodes a TOML or JSON table into a typed object and reports all faults at once, each with its key."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 def convert_all(raw: Any, kind: type[T], where: str = "") -> tuple[T | None, list[str]]:
     """The object, or None and a line for every fault: its key, and what is allowed there.
 
-    Keys that the type does not know are faults too: they would be wishes that nobody fulfils.
+    Unknown keys are faults too, as they would be settings without effect.
     """
     if not isinstance(raw, dict):
-        return None, [f"{where.rstrip('.') or 'the file'}: a table is wanted, not {type(raw).__name__}"]
+        return None, [f"{where.rstrip('.') or 'the file'}: a table is required, not {type(raw).__name__}"]
     faults: list[str] = []
     found: dict[str, Any] = {}
     hints = get_type_hints(kind, include_extras=True)
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
-    faults += [f"{where}{key}: not known; one of {', '.join(fields)}" for key in raw if key not in fields]
+    faults += [f"{where}{key}: unknown key; one of {', '.join(fields)}" for key in raw if key not in fields]
     for name, field in fields.items():
         key = f"{where}{name}"
         if name not in raw:
@@ -40,10 +40,10 @@
     if get_origin(plain) is not tuple:
         return convert_all(value, inner, f"{key}.")
     if not isinstance(value, list):
-        return None, [f"{key}: an array of tables is wanted, not {type(value).__name__}"]
+        return None, [f"{key}: an array of tables is required, not {type(value).__name__}"]
     lines = [convert_all(line, inner, f"{key}[{i}].") for i, line in enumerate(value)]
     faults = [fault for _, more in lines for fault in more]
-    return (None, faults) if faults else convert_one(value, hint, key)  # how many there may be
+    return (None, faults) if faults else convert_one(value, hint, key)  # checks the number of tables
 
 
 def convert_one(value: Any, kind: Any, key: str) -> tuple[Any, list[str]]:
@@ -55,7 +55,7 @@
 
 
 def struct_of(hint: Any) -> type[msgspec.Struct] | None:
-    """The table that a key holds, if it holds one."""
+    """The Struct type of a nested table; None if the key holds a plain value."""
     for kind in (hint, *get_args(hint)):
         if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
             return kind
--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -1,8 +1,9 @@
-"""From what nodes tell, look after look, to what the judge takes. No I/O, no clock.
+"""Turns the counters of successive snapshots into samples for the canary analysis. No I/O, no clock.
 
-Doors tell counts since a process began. This takes what came since the look before, sums it by member, and
-counts answers above each member's own mark: the bucket from which on about a quarter of its answers were slow
-before the release. A released member's mark is raised by what the plan lets pass.
+Nodes report counters since their process began. This computes the increase since the snapshot before, sums it
+by member, and counts responses above each member's own latency threshold: the histogram bucket above which
+about a quarter of its responses were before the release. The threshold of a released member is raised by the
+slowdown that the plan tolerates.
 """
 
 from __future__ import annotations
@@ -17,22 +18,22 @@
 from flaxstep.rollout.canary_analysis import MemberSample
 from flaxstep.rollout.snapshot import LatencyHistogram, ResponseCounters, Snapshot
 
-TARGET_SLOW_SHARE = 0.25  # the part of a member's answers that shall lie above its mark
-MIN_MEMBER_RESPONSES = (
-    30  # answers below which a member's own mark says little: then all members' mark is taken
-)
-WORTH_WINDOW_S = 10.0  # s over which the farm's served worth is taken
-MIN_WORTH_REQUESTED = 20.0  # requests in that time below which it says nothing
+TARGET_SLOW_SHARE = 0.25  # share of the baseline responses that is to lie above the threshold
+# With fewer responses in a class, the threshold of all members together is used.
+MIN_MEMBER_RESPONSES = 30
+WORTH_WINDOW_S = 10.0  # the period of the served share of worth
+# With less worth requested in that period, the served share is unknown.
+MIN_WORTH_REQUESTED = 20.0
 NO_RESPONSES = ResponseCounters()
 
 
 def bucket_end_ms(bucket: int) -> float:
-    """Where a bucket ends, in ms."""
+    """The upper end of a histogram bucket."""
     return float(2 ** ((bucket + 1) / 4) - 1)
 
 
 class SlowThreshold(msgspec.Struct, frozen=True):
-    """ResponseCounters beyond bucket `last` are slow; `usual` is their share before the release."""
+    """Responses above bucket `last` are slow; `usual` is their share before the release. Both are stored."""
 
     last: int
     usual: float
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What one member answered since the last look."""
+    """The responses of one member since the last snapshot."""
 
     succeeded: int = 0
     failed: int = 0
@@ -48,24 +49,29 @@
 
 
 class Evidence:
-    """`kind` is what members are: job servers, told by all nodes, or the nodes themselves."""
+    """Turns snapshots into samples of members.
+
+    `kind` is "servers", whose counters all nodes report, or "nodes". `worths` is the worth of a request, by
+    class.
+    """
 
     def __init__(self, kind: str, tolerated_slowdown: float, worths: dict[str, float]) -> None:
         self.kind, self.tolerated_slowdown, self.worths = kind, tolerated_slowdown, worths
-        self.baseline_histograms: dict[
-            str, dict[str, LatencyHistogram]
-        ] = {}  # by member and class, while it is measured
+        # by member and class; empty after the baseline
+        self.baseline_histograms: dict[str, dict[str, LatencyHistogram]] = {}
         self.thresholds: dict[str, dict[str, SlowThreshold]] = {}
         self.pooled_thresholds: dict[str, SlowThreshold] = {}
-        self.last_counters: dict[
-            tuple[str, str, str], tuple[int, ResponseCounters]
-        ] = {}  # by door, server and class
-        self.last_results: dict[tuple[str, str], tuple[int, int, int]] = {}  # by door and class
-        self.worth_history: deque[tuple[float, float, float]] = deque()  # when, worth asked for, worth served
-        self.carried_fractions: dict[tuple[str, str], float] = {}  # parts of an answer not counted yet
+        # by admin address, server and class
+        self.last_counters: dict[tuple[str, str, str], tuple[int, ResponseCounters]] = {}
+        # by admin address and class
+        self.last_results: dict[tuple[str, str], tuple[int, int, int]] = {}
+        # snapshot time in s, worth requested, worth served
+        self.worth_history: deque[tuple[float, float, float]] = deque()
+        # by member and class: fractions of a response that are not counted yet
+        self.carried_fractions: dict[tuple[str, str], float] = {}
 
     def update(self, snapshot: Snapshot) -> dict[str, Counts]:
-        """What came since the last look, by member. A door seen for the first time tells nothing yet."""
+        """The responses since the last snapshot, by member. A process that was not in it adds nothing."""
         found: dict[str, Counts] = {}
         asked = served = 0.0
         last, self.last_counters = self.last_counters, {}
@@ -112,7 +118,7 @@
         started: int,
         counters: ResponseCounters,
     ) -> None:
-        """What a door tells more of a server and class than at the last look."""
+        """Add what a process of a node reports of a server and class beyond the last snapshot."""
         if last is None:
             return
         before = last[1] if last[0] == started and counters.ok >= last[1].ok else NO_RESPONSES
@@ -126,14 +132,14 @@
             )
 
     def served_worth_share(self) -> float | None:
-        """The part of the worth asked for lately that was served; None where too little was asked."""
+        """The served share of the worth requested lately; None if too little was requested."""
         asked = sum(line[1] for line in self.worth_history)
         return sum(line[2] for line in self.worth_history) / asked if asked >= MIN_WORTH_REQUESTED else None
 
-    # Before the release.
+    # The baseline.
 
     def add_baseline(self, found: dict[str, Counts]) -> int:
-        """Take a look up as 'before'; how many answers there are by now."""
+        """Add responses to the baseline; return how many it holds."""
         for member, counts in found.items():
             histograms = self.baseline_histograms.setdefault(member, {})
             for cls, histogram in counts.latencies.items():
@@ -145,7 +151,7 @@
         )
 
     def compute_thresholds(self) -> None:
-        """The marks, from what was measured."""
+        """Compute the thresholds from the baseline."""
         pooled: dict[str, LatencyHistogram] = {}
         for histograms in self.baseline_histograms.values():
             for cls, histogram in histograms.items():
@@ -161,12 +167,12 @@
         }
         self.baseline_histograms.clear()
 
-    # In the release.
+    # Samples during the release.
 
     def member_samples(
         self, found: dict[str, Counts], released: set[str], cold: set[str]
     ) -> Iterator[MemberSample]:
-        """What the judge takes, a line for each member that answered anything."""
+        """A sample for each member that responded."""
         for member, counts in found.items():
             if not counts.succeeded + counts.failed:
                 continue
@@ -188,7 +194,9 @@
     def count_slow(
         self, member: str, cls: str, histogram: LatencyHistogram, last: int, released: bool
     ) -> int:
-        """ResponseCounters above the mark. Within the bucket that a raised mark parts, they count by its part."""
+        """The number of responses above the threshold. Where a raised threshold lies within a bucket, a
+        fraction of that bucket counts.
+        """
         if not released:
             return sum(count for bucket, count in histogram.items() if bucket > last)
         raised = bucket_end_ms(last) * self.tolerated_slowdown
@@ -202,7 +210,7 @@
         self.carried_fractions[member, cls] = exact_count - whole
         return whole
 
-    # What outlives a controller.
+    # State that is stored with the release.
 
     def to_state(self) -> dict[str, object]:
         return {"marks": self.thresholds, "pooled": self.pooled_thresholds}
@@ -214,7 +222,7 @@
 
 
 def counter_increase(last: tuple[int, int, int] | None, now: tuple[int, int, int]) -> tuple[int, int, int]:
-    """What was added to counters; nothing where they were not known, all where they began anew."""
+    """The increase of counters; 0 if the old values are unknown, the new values if they were reset."""
     if last is None:
         return 0, 0, 0
     if any(new < old for new, old in zip(now, last, strict=True)):
@@ -223,7 +231,7 @@
 
 
 def slow_threshold(histogram: LatencyHistogram) -> SlowThreshold:
-    """The bucket beyond which the part of the answers is nearest to what is wanted."""
+    """The bucket above which the share of responses is nearest to the target."""
     total, above = histogram.total(), 0
     best = SlowThreshold(max(histogram, default=0), 0.0)
     for bucket in sorted(histogram, reverse=True):
--- a/flaxstep/rollout/farm.py
+++ b/flaxstep/rollout/farm.py
@@ -1,5 +1,6 @@
-"""The farm that a release is about: its nodes with their doors, its list service, and the file that holds the
-releases' state. Read from TOML, every fault told at once."""
+"""The farm that a release updates: its nodes with their admin addresses, its list service, and the file with
+the state of the releases. Read from TOML, with all faults reported at once.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 
 class NodeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A node. Its first process has its door at the first of `doors`, a successor at another of them."""
+    """A node. `doors` are its admin addresses: the first process uses one of them, its successor another."""
 
     name: Text
     doors: Annotated[tuple[HostPort, ...], Meta(min_length=1, max_length=8)]
@@ -27,7 +28,9 @@
 
 
 class Farm(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`state` is a path, from the farm file's folder: all controllers of the farm share that file."""
+    """The farm file. `state` is a path relative to the file; all controllers of the farm share the file
+    there.
+    """
 
     name: Text
     discovery: HostPort
@@ -36,7 +39,7 @@
 
 
 def read_farm(path: Path) -> Farm:
-    """The farm of a file, `state` from where the file is; PlanError with every fault, if it has any."""
+    """Read a farm file and make `state` absolute; PlanError with all its faults."""
     try:
         raw = tomllib.loads(path.read_text())
     except OSError as error:
@@ -57,4 +60,4 @@
     names = Counter(node.name for node in farm.nodes)
     doors = Counter(door for node in farm.nodes for door in node.doors)
     for what, counts in (("node", names), ("door", doors)):
-        yield from (f"nodes: the {what} {name} stands there twice" for name, n in counts.items() if n > 1)
+        yield from (f"nodes: the {what} {name} is listed twice" for name, n in counts.items() if n > 1)
--- a/flaxstep/rollout/io/__init__.py
+++ b/flaxstep/rollout/io/__init__.py
@@ -1,1 +1,1 @@
-"""What releases touch: doors, the list, commands, and the file that their state is in."""
+"""The I/O of releases: admin ports, the list service, commands, and the state file."""
--- a/flaxstep/rollout/io/child_processes.py
+++ b/flaxstep/rollout/io/child_processes.py
@@ -1,4 +1,4 @@
-"""Child processes that end when their parent does."""
+"""Child processes that are killed when their parent ends."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def kill_with_parent(parent: int) -> None:
-    """In the child, before its program starts: SIGKILL when the parent is gone, also if it is already."""
+    """Run in the child before exec: request SIGKILL when the parent ends, or exit if it has ended already."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
         os._exit(1)
--- a/flaxstep/rollout/io/controller.py
+++ b/flaxstep/rollout/io/controller.py
@@ -1,4 +1,4 @@
-"""Runs a release: looks, decides, writes the intent down, acts, writes down what it came to."""
+"""The controller: takes snapshots, writes intents ahead, performs actions, and writes their results."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from flaxstep.rollout.release import END_STATES, Release, State, assign_waves
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 
-MAX_PARALLEL_VERSION_QUERIES = 8  # commands
+MAX_PARALLEL_VERSION_QUERIES = 8  # version commands
 RESULT_LOST = ActionResult(False, "its result was lost with the controller", outcome_known=False)
 LineReporter = Callable[[str], None]
 
 
 class Controller:
-    """`tell` gets one line for each thing that happens."""
+    """Carries out a release. `report_line` is called with one line for each event."""
 
     def __init__(self, farm: Farm, store: Store, stored: StoredRelease, report_line: LineReporter) -> None:
         self.farm, self.store, self.stored, self.report_line = farm, store, stored, report_line
@@ -34,7 +34,7 @@
         self.reported_phases = {member.id: member.phase for member in stored.members.values()}
 
     def recover(self) -> None:
-        """What a controller that was killed has left: every action without a result."""
+        """Resume after a controller that was killed: settle each action that has no result."""
         self.state_machine.recover(self.stored.unfinished_actions.values(), boot_clock_s())
         for number, action in self.stored.unfinished_actions.items():
             self.report_line(f"{action.kind.value} {action.member}: {RESULT_LOST.text}")
@@ -44,9 +44,9 @@
         self.stored.unfinished_actions.clear()
 
     async def run(self) -> None:
-        """Until the release is over; ClaimLost if another controller has taken the farm over.
+        """Run until the release is over; ClaimLost if another controller has taken the farm over.
 
-        Ends as well where a release that is over can't call somebody back for as long as its plan waits.
+        Also returns if a release that has ended cannot return a member to service within the plan's `wait_s`.
         """
         ended_at: float | None = None
         watch = self.stored.plan.watch
@@ -70,7 +70,7 @@
             for number, what in self.store.pending_orders(self.stored.id):
                 refusal = self.state_machine.apply_order(what)
                 self.store.record_order_result(number, refusal)
-                self.report_line(f"{what}, called by staff{': no, ' if refusal else ''}{refusal}")
+                self.report_line(f"{what}, ordered by an operator{': no, ' if refusal else ''}{refusal}")
             self.store.save(self.stored.id, self.stored.release, self.stored.members)
 
     async def run_cycle(self, tasks: asyncio.TaskGroup) -> None:
@@ -82,9 +82,8 @@
         ids = self.store.write_intents(self.stored.id, self.stored.release, self.stored.members, actions)
         self.report_changes()
         for number, action in zip(ids, actions, strict=True):
-            self.stored.members[action.member].open = (
-                number or -1
-            )  # reads have no line, and are out all the same
+            # -1: queries have no id in the store, but are in progress all the same
+            self.stored.members[action.member].open = number or -1
             tasks.create_task(self.perform_action(number, action))
 
     async def perform_action(self, number: int, action: Action) -> None:
@@ -101,7 +100,7 @@
         self.store.write_result(self.stored.id, self.stored.release, self.stored.members, number, result)
 
     def report_changes(self) -> None:
-        """Report what is new of the release and its members."""
+        """Report changes of the release and its members."""
         release = self.stored.release
         for member in self.stored.members.values():
             if self.reported_phases.get(member.id) is not member.phase:
@@ -116,17 +115,20 @@
 
 
 async def plan_members(farm: Farm, plan: Plan) -> list[Member]:
-    """Who a plan is about, as the farm stands; PlanError if that can't be known."""
+    """The members that a plan updates; PlanError if they cannot be determined."""
     if plan.what == "nodes":
         single_address_nodes = [node.name for node in farm.nodes if len(node.doors) < 2]
         if single_address_nodes:
             raise PlanError(
-                [f"nodes: {name} has one door; a successor needs another" for name in single_address_nodes]
+                [
+                    f"nodes: {name} has one admin address; a successor needs another"
+                    for name in single_address_nodes
+                ]
             )
         return [Member(node.name, node.zone, 1.0) for node in farm.nodes]
     listed = await fetch_server_list(farm.discovery)
     if listed is None:
-        raise PlanError([f"discovery: the list service at {farm.discovery} does not answer"])
+        raise PlanError([f"discovery: the list service at {farm.discovery} does not respond"])
     lines = [line for line in listed.values() if line.lifecycle == "active"]
     if not lines:
         raise PlanError(["discovery: no job server is listed as active"])
@@ -134,13 +136,13 @@
 
 
 async def resume_or_create_release(farm: Farm, store: Store, plan: Plan) -> StoredRelease:
-    """The open release of this plan, or a new one; StoreError if another plan's is open."""
+    """The open release of this plan, or a new one; StoreError if a release of another plan is open."""
     found = store.newest_release()
     if found is not None and found.ended is None:
         watch = msgspec.structs.replace(found.plan.watch, on_bad=plan.watch.on_bad)
         if msgspec.structs.replace(found.plan, watch=watch) != plan:
-            raise StoreError(f"release {found.id}, {found.plan.name}, is not over; it must be ended first")
-        found.plan = plan  # staff may think otherwise of 'on_bad' by now
+            raise StoreError(f"release {found.id}, {found.plan.name}, is not over; it must be closed first")
+        found.plan = plan  # `on_bad` may be changed while a release is open
         return found
     members = assign_waves(plan, await plan_members(farm, plan))
     await query_versions(farm, plan, members)
@@ -150,7 +152,7 @@
 
 
 async def query_versions(farm: Farm, plan: Plan, members: dict[str, MemberState]) -> None:
-    """Who runs the new version already, where the plan can ask; PlanError if that leaves nothing to do."""
+    """Query which version each member runs, if the plan can; PlanError if nothing is left to do."""
     if plan.commands.version is None:
         return
     executor, slots = Executor(farm, plan), asyncio.Semaphore(MAX_PARALLEL_VERSION_QUERIES)
@@ -165,7 +167,7 @@
                 Action(ActionKind.VERSION, member.id, plan.to, admin_addresses.get(member.id, ""))
             )
         if not result.ok:
-            return f"{member.id}: its version can't be asked: {result.text}"
+            return f"{member.id}: its version cannot be queried: {result.text}"
         member.version = result.text
         known = (plan.from_, plan.to)
         return (
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -1,4 +1,4 @@
-"""Carries out acts: calls at doors, pings, and commands."""
+"""Performs actions: calls to admin ports, pings, and commands."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from flaxstep.rollout.plan import Plan, command_line
 from flaxstep.rollout.snapshot import Snapshot
 
-MAX_OUTPUT_BYTES = 64 << 10  # bytes of a command's output that are kept
+MAX_OUTPUT_BYTES = 64 << 10  # of the output of a command
 
 
 class Executor:
-    """`snapshot` is the newest look: where servers listen, and which doors answer."""
+    """Performs actions. `snapshot` is the newest one; it has the addresses of the job servers."""
 
     def __init__(self, farm: Farm, plan: Plan) -> None:
         self.farm, self.plan = farm, plan
         self.snapshot: Snapshot | None = None
 
     async def perform(self, action: Action) -> ActionResult:
-        """What an action comes to. Nothing that goes wrong outside is an exception here."""
+        """Perform an action. External failures are part of the result, not exceptions."""
         if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
             return await self.call_all_nodes(action.kind.value, action.member)
         if action.kind is ActionKind.PING:
@@ -37,13 +37,13 @@
             ActionKind.VERSION: commands.version,
             ActionKind.CHECK: commands.check,
         }[action.kind]
-        assert words is not None, "the plan has the commands that its steps ask for"
+        assert words is not None, "the plan has every command that its steps use"
         return await run_command(
             command_line(words, action.member, action.version, action.admin_address), commands.time_limit_s
         )
 
     async def call_all_nodes(self, call: str, server: str) -> ActionResult:
-        """A call for a job server at every node: yes if all say yes."""
+        """Make an admin call for a job server at every node; it succeeds if all nodes accept it."""
         outcomes = await asyncio.gather(
             *(self.call_node(node.doors, call, server) for node in self.farm.nodes)
         )
@@ -55,11 +55,13 @@
         return ActionResult(not failures, "; ".join(failures))
 
     async def call_node(self, admin_addresses: tuple[str, ...], call: str, server: str) -> str | None:
-        """Why a node did not say yes; its processes share what one of them is told."""
+        """Why a node did not accept a call, or None. One process is enough: processes of a node share
+        cordons.
+        """
         why = ""
         for admin_address in admin_addresses:
             status, body = await call_text(admin_address, "POST", f"/admin/{call}", server.encode())
-            # A node that does not know the server has nothing to call back.
+            # A node that does not know the server has no cordon to remove.
             if 200 <= status < 300 or (status == 404 and call == "uncordon"):
                 return None
             why = f"{status} {body}" if status else why or body
@@ -74,7 +76,9 @@
 
 
 async def run_command(words: list[str], seconds: float) -> ActionResult:
-    """A command without a shell; what it wrote, or the last line of its errors. It is killed at its limit."""
+    """Run a command without a shell. The result has its output, or the last line of its errors. It is killed
+    at the time limit.
+    """
     parent = os.getpid()
     try:
         process = await asyncio.create_subprocess_exec(
@@ -93,7 +97,7 @@
     except TimeoutError:
         await kill_process_group(process)
         return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", outcome_known=False)
-    except BaseException:  # the controller ends: so does what it runs
+    except BaseException:  # the controller is cancelled: its commands end with it
         await kill_process_group(process)
         raise
     last = (errors[-MAX_OUTPUT_BYTES:].decode(errors="replace").strip().splitlines() or [""])[-1]
@@ -103,7 +107,7 @@
 
 
 async def kill_process_group(process: asyncio.subprocess.Process) -> None:
-    """The command and what it started in its session, by the session's own id."""
+    """Kill a command and the processes that it started in its session."""
     with suppress(ProcessLookupError):
         os.killpg(process.pid, signal.SIGKILL)
     await asyncio.shield(process.wait())
--- a/flaxstep/rollout/io/http_client.py
+++ b/flaxstep/rollout/io/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 call, with a limit on its time and size."""
+"""A minimal HTTP/1.1 client: one request per connection, with limits on time and size."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 import httptools
 
-MAX_BODY_BYTES = 64 << 20  # bytes of a response
+MAX_BODY_BYTES = 64 << 20  # of a response
 
 
 class CallError(Exception):
-    """Why there is no response, in a few words."""
+    """Why there is no response."""
 
 
 class ResponseCollector:
-    """What the parser finds."""
+    """Callbacks of the parser: collect the body and note whether the response is complete."""
 
     def __init__(self) -> None:
         self.body = bytearray()
-        self.complete = self.has_framing = False  # whether its end is told beforehand
+        self.complete = self.has_framing = False  # has_framing: the header says where the body ends
 
     def on_header(self, name: bytes, _: bytes) -> None:
         self.has_framing |= name.lower() in (b"content-length", b"transfer-encoding")
@@ -33,7 +33,9 @@
 async def call(
     address: str, method: str, path: str, body: bytes = b"", seconds: float = 1.0
 ) -> tuple[int, bytes]:
-    """Status and body; CallError if no complete response came in time. `address` is HOST:PORT."""
+    """Send a request; return status and body. CallError if no complete response came in time. `address` is
+    HOST:PORT.
+    """
     host, _, port = address.rpartition(":")
     writer: asyncio.StreamWriter | None = None
     response = ResponseCollector()
@@ -70,7 +72,7 @@
 async def call_text(
     address: str, method: str, path: str, body: bytes = b"", seconds: float = 1.0
 ) -> tuple[int, str]:
-    """The same with the body as text; status 0 and the reason where there is no response."""
+    """Like `call`, with the body as text; status 0 and the reason if there is no response."""
     try:
         status, data = await call(address, method, path, body, seconds)
     except CallError as error:
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -1,4 +1,4 @@
-"""A look at the farm: every door and the list, all at once."""
+"""Collects a snapshot of the farm: all admin ports and the list service, concurrently."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 MEMBERS_PATH = "/catalog/members"
-LIST_TIMEOUT_S = 2.0  # s
+LIST_TIMEOUT_S = 2.0
 RESULTS_PREFIX = "edge_router.results."
 OUTCOMES = ("succeeded", "declined", "aborted")
 
@@ -39,7 +39,7 @@
 
 
 async def collect_process(admin_address: str) -> ProcessView | str:
-    """The process behind a door, or why there is no answer."""
+    """The process at an admin address, or why there is no response."""
     status, health = await call_text(admin_address, "GET", "/admin/health")
     if not status:
         return health
@@ -48,10 +48,10 @@
             call(admin_address, "GET", "/admin/servers"), call(admin_address, "GET", "/admin/stats")
         )
         if servers_status not in (200, 404) or stats_status != 200:
-            return f"the admin port answers {stats_status if servers_status == 200 else servers_status} to a request for counters"
+            return f"its counters: status {stats_status if servers_status == 200 else servers_status}"
         lines = json.loads(servers) if servers_status == 200 else {}
         server_counters = {name: parse_server_counters(line) for name, line in lines.items()}
-        # A node of the version before has no such call, or does not tell who is out by hand.
+        # Older versions of the node lack this call, or do not report cordons.
         reports_servers = servers_status == 200 and all("cordoned" in line for line in lines.values())
         health_state = "ready" if status == 200 else health
         return ProcessView(
@@ -60,7 +60,7 @@
     except CallError as error:
         return str(error)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return f"its figures can't be read: {type(error).__name__}: {error}"
+        return f"cannot parse its counters: {type(error).__name__}: {error}"
 
 
 def parse_server_counters(line: dict[str, Any]) -> ServerCounters:
@@ -77,7 +77,7 @@
 
 
 def parse_results(body: bytes) -> dict[str, tuple[int, int, int]]:
-    """Requests served, refused and failed by class; other lines are passed over."""
+    """Requests served, refused and failed, by class; other metrics are ignored."""
     found: dict[str, dict[str, int]] = {}
     for line in body.decode().splitlines():
         name, _, value = line.partition(":")
@@ -91,7 +91,7 @@
 
 
 async def fetch_server_list(address: str) -> dict[str, ListedServer] | None:
-    """The whole list; None if it did not come."""
+    """The complete list; None if the list service did not respond."""
     try:
         status, body = await call(address, "GET", MEMBERS_PATH, seconds=LIST_TIMEOUT_S)
         if status != 200:
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -1,9 +1,10 @@
 """The state of a farm's releases, in one SQLite file that is synced at each commit.
 
-Before an act its intent is there, with the state that asks for it, in one transaction; after it what it came
-to. Who acts holds the claim: a row with a number that each taking raises. Every transaction of a controller
-checks the number, so one that was stopped and replaced can write nothing, and ends. The clock is the one that
-goes on in sleep and that nobody sets; with another boot of the machine all its times begin anew.
+Write-ahead: the intent of an action is written before it, in one transaction with the state that asks for it,
+and its result after it. The controller holds the claim, a lease: a row with a fencing token that grows each
+time the claim is acquired. Every transaction of a controller checks its token, so a controller that was
+stopped and replaced cannot write any more, and ends. Times are of the boot clock, which runs during suspend
+and cannot be set; after a reboot all of them start anew.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 from flaxstep.rollout.plan import Plan
 from flaxstep.rollout.release import Release
 
-SCHEMA_VERSION = 1  # of the tables; a file of another form is left alone
-LEASE_S = 10.0  # s after which a claim that was not renewed may be taken
-BUSY_TIMEOUT_S = 5.0  # s to wait for another process's transaction
+SCHEMA_VERSION = 1  # of the tables; a file with another version is refused and not changed
+LEASE_S = 10.0  # a claim that was not renewed for this long may be acquired by another controller
+BUSY_TIMEOUT_S = 5.0  # for the transaction of another process
 TABLES = """
 CREATE TABLE IF NOT EXISTS claim (
     one INTEGER PRIMARY KEY CHECK (one = 1), number INTEGER, holder TEXT, boot TEXT, renewed REAL);
@@ -41,15 +42,15 @@
 
 
 class StoreError(Exception):
-    """Why the state can't be had, in one line."""
+    """The state cannot be read or written, or another controller holds it. One line."""
 
 
 class ClaimLost(StoreError):
-    """Another controller acts on this farm now."""
+    """Another controller has acquired the claim."""
 
 
 def boot_clock_s() -> float:
-    """s since the machine's start; not set by anybody, and the same in all its processes."""
+    """Seconds since boot; cannot be set, and is the same in all processes."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -59,7 +60,7 @@
 
 @dataclass(slots=True)
 class StoredRelease:
-    """A release as the file has it. `left` are acts that have no result, by id."""
+    """A release as stored. `unfinished_actions` have no result yet, by id."""
 
     id: int
     plan: Plan
@@ -72,7 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLine:
-    """One act of a release's history. Times in Unix s; `ok` is None while it has no result."""
+    """One action of the history of a release, as shown by `release history --json`. Times in Unix s; `ok` is
+    None while it has no result.
+    """
 
     id: int
     at: float
@@ -85,19 +88,23 @@
 
 
 class Store:
-    """`claim` is 0 for who only reads, or leaves orders."""
+    """The state file. `fencing_token` is 0 in a process that does not hold the claim."""
 
     def __init__(self, path: Path, must_exist: bool = False) -> None:
         self.path, self.fencing_token, self.boot = path, 0, boot_id()
         if must_exist and not path.exists():
             raise StoreError(f"{path}: no release has been started on this farm")
-        self.saved_members: dict[str, bytes] = {}  # members as they were last written
+        self.saved_members: dict[
+            str, bytes
+        ] = {}  # encoded members as last written, to write only those that changed
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
             self.db = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
             schema_version = self.db.execute("PRAGMA user_version").fetchone()[0]
             if schema_version not in (0, SCHEMA_VERSION):
-                raise StoreError(f"{path}: written by another version of the program (form {schema_version})")
+                raise StoreError(
+                    f"{path}: written by another version of the program (schema version {schema_version})"
+                )
             if schema_version == 0:
                 self.db.execute("PRAGMA journal_mode = WAL")
                 self.db.executescript(
@@ -115,13 +122,15 @@
     # The claim.
 
     def acquire_claim(self) -> None:
-        """Become the one controller; StoreError if there is another."""
+        """Become the only controller; StoreError if another one holds the claim."""
         with self.transaction(claimed=False):
             row = self.db.execute("SELECT number, holder, boot, renewed FROM claim").fetchone()
             number, holder, boot, renewed = row or (0, "", "", 0.0)
             ago = boot_clock_s() - renewed
             if holder and boot == self.boot and ago < LEASE_S:
-                raise StoreError(f"{self.path}: {holder} acts on this farm, last heard of {ago:.1f} s ago")
+                raise StoreError(
+                    f"{self.path}: {holder} acts on this farm, its claim was renewed {ago:.1f} s ago"
+                )
             self.fencing_token = number + 1
             self.db.execute(
                 "INSERT OR REPLACE INTO claim VALUES (1, ?, ?, ?, ?)",
@@ -134,19 +143,19 @@
             self.fencing_token = 0
 
     def holds_claim(self) -> bool:
-        """Whether the claim is still ours, just before an act."""
+        """Whether this process holds the claim; checked just before an action."""
         row = self.db.execute("SELECT number FROM claim").fetchone()
         return row is not None and row[0] == self.fencing_token
 
     def holder(self) -> str:
-        """Who acts on the farm; empty if nobody does."""
+        """The process that holds the claim; an empty string if none does."""
         row = self.db.execute("SELECT holder, boot, renewed FROM claim").fetchone()
         alive = row and row[1] == self.boot and boot_clock_s() - row[2] < LEASE_S
         return str(row[0]) if alive else ""
 
     @contextmanager
     def transaction(self, claimed: bool = True) -> Iterator[None]:
-        """All or nothing; with the claim checked and renewed."""
+        """An atomic transaction. If `claimed`, it checks and renews the claim."""
         try:
             self.db.execute("BEGIN IMMEDIATE")
             try:
@@ -167,7 +176,7 @@
     # Releases.
 
     def create_release(self, plan: Plan, release: Release, members: Mapping[str, MemberState]) -> int:
-        """A new release; its id."""
+        """Store a new release and return its id."""
         text = msgspec.json.encode(plan).decode()
         with self.transaction():
             cursor = self.db.execute(
@@ -189,7 +198,7 @@
     def write_intents(
         self, number: int, release: Release, members: Mapping[str, MemberState], actions: Sequence[Action]
     ) -> list[int]:
-        """State and intents in one; the acts' ids, 0 for those that change nothing."""
+        """Write state and intents in one transaction; return the ids of the actions, 0 for queries."""
         ids: list[int] = []
         with self.transaction():
             for action in actions:
@@ -227,7 +236,7 @@
         action: int,
         result: ActionResult,
     ) -> None:
-        """What an act came to, and the state that follows from it."""
+        """Write the result of an action, and the state that follows from it."""
         with self.transaction():
             if action:
                 self.db.execute(
@@ -242,7 +251,7 @@
             self.db.execute("UPDATE releases SET ended = ? WHERE id = ?", (time.time(), number))
 
     def newest_release(self) -> StoredRelease | None:
-        """The last release that was begun, if any was."""
+        """The newest release, if there is any."""
         try:
             row = self.db.execute(
                 "SELECT id, plan, state, boot, began, ended FROM releases ORDER BY id DESC LIMIT 1"
@@ -263,7 +272,7 @@
             stored_plan: Plan = msgspec.json.decode(plan, type=Plan)
         except msgspec.MsgspecError as error:
             raise StoreError(f"{self.path}: release {number}: {error}") from None
-        if boot != self.boot:  # the machine has started anew, and its clock with it
+        if boot != self.boot:  # after a reboot the boot clock starts anew
             for member in members:
                 member.since, member.asked = boot_clock_s(), -1e9
             release.waits_since = boot_clock_s()
@@ -283,7 +292,7 @@
             for at, when, act, member, version, ended, ok, said in rows
         ]
 
-    # Orders of staff.
+    # Orders of operators.
 
     def add_order(self, number: int, what: str) -> int:
         with self.transaction(claimed=False):
@@ -293,17 +302,19 @@
             return int(cursor.lastrowid or 0)
 
     def pending_orders(self, number: int) -> list[tuple[int, str]]:
-        """Those that nobody has taken yet, in their order."""
+        """The orders that no controller has processed, oldest first."""
         rows = self.db.execute(
             "SELECT id, what FROM orders WHERE release = ? AND taken IS NULL ORDER BY id", (number,)
         )
         return [(int(at), str(what)) for at, what in rows]
 
     def record_order_result(self, order: int, result: str) -> None:
-        """Within a transaction of the claim's holder, or the order is taken and not kept."""
+        """Call within a transaction of the claim's holder: otherwise the order may be marked as processed
+        while its effect is not stored.
+        """
         self.db.execute("UPDATE orders SET taken = ?, said = ? WHERE id = ?", (time.time(), result, order))
 
     def order_result(self, order: int) -> str | None:
-        """What the controller said to an order; empty: done; None: nothing yet."""
+        """The result of an order: empty if done, the reason of a refusal, or None while it is pending."""
         row = self.db.execute("SELECT taken, said FROM orders WHERE id = ?", (order,)).fetchone()
         return None if row is None or row[0] is None else str(row[1])
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -1,8 +1,9 @@
-"""The steps of one member, there and back. Pure: told the time, what was seen and what acts came to, it says
-what is to be done next.
+"""The steps that update one member, or roll it back. Pure: the inputs are the time, snapshots and the results
+of actions, the output is the next action.
 
-A job server is cordoned at every node, emptied, restarted by a command, proved, called back, and is cold for
-a while. A node gets a second process, proved at a door of its own, before the first is told to end.
+A job server is cordoned at every node, drained, restarted by a command, verified, uncordoned, and is cold for
+a while. A node gets a second process, which is verified at an admin address of its own before the first is
+asked to stop.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 )
 from flaxstep.rollout.snapshot import Snapshot
 
-MAX_RESTART_TRIES = 3  # commands for one member and direction that left no trace
+MAX_RESTART_TRIES = 3  # restart commands without effect, for one member and direction
 
 
 class MemberSteps(Protocol):
-    """How members of a kind are released."""
+    """The update procedure of one kind of member."""
 
     def begin_update(self, member: MemberState, target: str, now: float) -> None: ...
     def cancel_update(self, member: MemberState, now: float, note: str) -> None: ...
@@ -36,13 +37,13 @@
 
 
 class CommonSteps:
-    """What both kinds share: the command, finding out what it did, and the proof."""
+    """What both kinds share: the restart command, finding out what it did, and the checks after it."""
 
     def __init__(self, times: StepTimes, available: AvailableCommands) -> None:
         self.times, self.available = times, available
 
     def rate_limited(self, member: MemberState, action: Action, now: float) -> Action | None:
-        """The action, unless something was asked about the member a moment ago."""
+        """The action, or None if the member was queried less than a poll interval ago."""
         if now - member.asked < self.times.poll_interval_s:
             return None
         member.asked = now
@@ -54,7 +55,7 @@
         return Action(ActionKind.RESTART, member.id, member.target, admin_address)
 
     def on_result_lost(self, member: MemberState, action: Action, now: float) -> None:
-        """An action whose result nobody has. All but the command are simply made again."""
+        """Handle an action whose result was lost with the controller. All but the restart are repeated."""
         if action.kind is ActionKind.RESTART:
             member.lost = True
             member.enter_phase(
@@ -69,16 +70,16 @@
             member.enter_phase(Phase.SERVING, now)
 
     def mark_failed(self, member: MemberState, now: float, fault: str) -> None:
-        """It is not fit to serve as what it should be."""
+        """Record that the member failed its checks with its target version."""
         member.fault = fault
         member.enter_phase(Phase.DOWN, now, fault)
 
 
 class ServerSteps(CommonSteps):
-    """A job server's."""
+    """The steps of a job server."""
 
     def begin_update(self, member: MemberState, target: str, now: float) -> None:
-        """Outward, or straight to the command where it is out already."""
+        """Cordon the server first; if it is out of service already, go on with the restart."""
         member.target = target
         member.tries += 1
         if member.phase is Phase.DOWN:
@@ -87,7 +88,7 @@
             member.enter_phase(Phase.CORDONING, now, "")
 
     def cancel_update(self, member: MemberState, now: float, note: str) -> None:
-        """Before the command: back to service as it was."""
+        """Return the server to service unchanged. Only valid before its restart command."""
         member.target = member.version
         member.enter_phase(Phase.UNCORDONING, now, note)
 
@@ -110,22 +111,24 @@
         return None
 
     def wait_until_drained(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
-        """Nothing in flight, as every node said after the cordon: now the command."""
+        """Wait until every node has reported, after the cordon, that nothing is in flight; then restart."""
         in_flight = snapshot.in_flight(member.id) if snapshot.taken_at_s > member.since else None
         if in_flight is not None and not snapshot.cordoned_everywhere(member.id):
-            member.enter_phase(Phase.CORDONING, now)  # a node has started anew and knows nothing of it
+            member.enter_phase(Phase.CORDONING, now)  # a restarted node has lost the cordon
             return Action(ActionKind.CORDON, member.id)
         if in_flight == 0:
             return self.begin_restart(member, now)
         if now - member.since > self.times.drain_s:
             remaining = (
-                "not every node answers" if in_flight is None else f"{in_flight} requests are in flight there"
+                "not every node responds"
+                if in_flight is None
+                else f"{in_flight} requests are in flight there"
             )
             self.cancel_update(member, now, f"not empty after {self.times.drain_s:g} s: {remaining}")
         return None
 
     def restart_again(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
-        """Out already, and not fit to come back: taken out once more, as a node may have forgotten."""
+        """Restart a server that is out of service, and cordon it again first: a restarted node lost that."""
         if now - member.since > self.times.drain_s:
             self.mark_failed(
                 member, now, f"could not be restarted: {member.note or 'requests are in flight there'}"
@@ -136,7 +139,7 @@
         return self.begin_restart(member, now) if snapshot.in_flight(member.id) == 0 else None
 
     def resolve_restart(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
-        """What its command did: the version that runs says it, or a start that the list tells of."""
+        """Find out what the restart command did: from the running version, or from the list."""
         if self.available.version:
             action = self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
         else:
@@ -151,15 +154,14 @@
         return action
 
     def on_restart_without_effect(self, member: MemberState, now: float) -> None:
-        """The command did nothing: it goes back as it was, to be tried again where only the result was
-        lost."""
+        """The restart had no effect: return the server as it was; try again if only the result was lost."""
         if not member.lost or member.tries >= MAX_RESTART_TRIES:
-            member.fault = member.note or "its command did nothing"
-        member.target, member.before = member.version, -1  # the list owes no news of a start
+            member.fault = member.note or "its command had no effect"
+        member.target, member.before = member.version, -1  # -1: no new start time is expected in the list
         member.enter_phase(Phase.VERIFYING, now)
 
     def verify(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
-        """It answers, runs what it should, answers rightly, and is listed: in that order."""
+        """Check in this order: the server responds, runs the right version, responds correctly, is listed."""
         if now - member.since > self.times.ready_s:
             self.mark_failed(
                 member, now, f"not ready {self.times.ready_s:g} s after its restart: {member.note}"
@@ -176,7 +178,7 @@
             line.started_ms != member.before or now - member.since > self.times.list_update_s
         )
         if line is None or line.lifecycle != "active" or not start_is_listed:
-            member.note = "the list does not have it yet"
+            member.note = "not listed yet"
             return None
         member.version, member.started = member.target, line.started_ms
         member.untold = line.started_ms == member.before
@@ -190,12 +192,12 @@
             if result.ok:
                 member.enter_phase(Phase.DRAINING, now)
             else:
-                self.cancel_update(member, now, f"not taken out: {result.text}")
+                self.cancel_update(member, now, f"not cordoned: {result.text}")
         elif action.kind is ActionKind.UNCORDON:
             if result.ok:
                 member.enter_phase(Phase.WARMING, now)
             else:
-                member.note = f"not called back yet: {result.text}"
+                member.note = f"not uncordoned yet: {result.text}"
         elif action.kind is ActionKind.RESTART:
             member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
         elif member.phase is Phase.RESOLVING_RESTART:
@@ -224,7 +226,7 @@
 
 
 class NodeSteps(CommonSteps):
-    """A node's: nothing is out at any time, if all goes well."""
+    """The steps of a node. As the second process takes over from the first, no node is out of service."""
 
     def begin_update(self, member: MemberState, target: str, now: float) -> None:
         member.target = target
@@ -236,7 +238,7 @@
         member.enter_phase(Phase.SERVING, now, note)
 
     def current_and_successor_address(self, member: MemberState) -> tuple[str, str]:
-        """Where the process that serves has its door, and where a successor gets it."""
+        """The admin addresses of the running process and of its successor."""
         addresses = self.available.admin_addresses[member.id]
         return addresses[member.door], addresses[(member.door + 1) % len(addresses)]
 
@@ -247,13 +249,12 @@
             and node.processes
             and node.process_at(self.current_and_successor_address(member)[0]) is None
         ):
-            member.door = self.available.admin_addresses[member.id].index(
-                node.processes[0].admin_address
-            )  # restarted by others
+            # The node was restarted by someone else, at another of its admin addresses.
+            member.door = self.available.admin_addresses[member.id].index(node.processes[0].admin_address)
         current, successor = self.current_and_successor_address(member)
         if phase is Phase.DRAINING:
             if node.process_at(successor) is not None:
-                self.cancel_update(member, now, f"somebody's process has its door at {successor} already")
+                self.cancel_update(member, now, f"another process has its admin port at {successor} already")
                 return None
             return self.begin_restart(member, now, successor)
         if phase is Phase.RESOLVING_RESTART:
@@ -270,7 +271,7 @@
             return self.rate_limited(member, Action(ActionKind.STOP, member.id, member.version, current), now)
         if phase is Phase.AWAITING_PREDECESSOR_EXIT:
             self.wait_for_predecessor_exit(member, snapshot, now)
-        if phase is Phase.DOWN:  # its second process never said yes: it ends, the first serves on
+        if phase is Phase.DOWN:  # the second process did not become ready: stop it, the first serves on
             return self.rate_limited(
                 member, Action(ActionKind.STOP, member.id, member.target, successor), now
             )
@@ -282,7 +283,7 @@
         _, successor = self.current_and_successor_address(member)
         process = snapshot.nodes[member.id].process_at(successor)
         if now - member.since > self.times.ready_s:
-            health = process.health if process else "no answer at its door"
+            health = process.health if process else "no response at its admin address"
             fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or health}"
             self.mark_failed(member, now, fault)
         elif process is not None and process.ready:
@@ -298,7 +299,7 @@
         return None
 
     def wait_for_predecessor_exit(self, member: MemberState, snapshot: Snapshot, now: float) -> None:
-        """The process before is gone from its door, and the new one serves."""
+        """Finish once the old process is gone from its admin address and the new one serves."""
         current, successor = self.current_and_successor_address(member)
         node = snapshot.nodes[member.id]
         if (
@@ -310,17 +311,17 @@
             member.version = member.target
             member.enter_phase(Phase.WARMING, now, "")
         elif now - member.since > self.times.ready_s:
-            member.fault = "two processes of it run on, though the first was told to end"
+            member.fault = "two processes of it run on, though the first was asked to stop"
             member.enter_phase(Phase.STOPPING_PREDECESSOR, now, member.fault)
 
     def on_action_ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
         if action.kind is ActionKind.RESTART:
             member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
         elif action.kind is ActionKind.STOP and member.phase is Phase.STOPPING_PREDECESSOR:
-            member.note = "" if result.ok else f"not told to end: {result.text}"
+            member.note = "" if result.ok else f"not asked to stop: {result.text}"
             if result.ok:
                 member.enter_phase(Phase.AWAITING_PREDECESSOR_EXIT, now)
-            elif now - member.since > self.times.ready_s:  # the new one serves; it must not be ended now
+            elif now - member.since > self.times.ready_s:  # the new one serves and must not be stopped
                 member.fault = member.note
         elif action.kind is ActionKind.STOP and member.phase is Phase.DOWN:
             if result.ok:
@@ -329,7 +330,7 @@
             if result.ok and result.text == member.target:
                 member.proved = 1
             else:
-                member.note = f"it says {result.text}, not {member.target}"
+                member.note = f"it runs {result.text}, not {member.target}"
         elif action.kind is ActionKind.CHECK:
             if result.ok:
                 member.proved = 2
--- a/flaxstep/rollout/plan.py
+++ b/flaxstep/rollout/plan.py
@@ -1,8 +1,8 @@
-"""What a release is to do: read from TOML, every fault told at once, and split into waves.
+"""The plan of a release: read from TOML, with all faults reported at once, and split into waves.
 
-A plan says what is released and to which version, in which waves and order of zones, how much may be out at
-once and how much of the farm's worth must stay, how long each wave is watched, and which commands restart a
-process.
+A plan says what is released and to which version, in which waves and order of zones, how many members may be
+out of service at once and how much capacity and worth must remain, how long each wave is watched, and which
+commands restart a process.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class PlanError(Exception):
-    """A plan that can't be carried out: all that is wrong with it, a line each."""
+    """An invalid plan or farm file. Holds all faults, one line each."""
 
     def __init__(self, faults: Sequence[str]) -> None:
         super().__init__("\n".join(faults))
@@ -38,65 +38,71 @@
 
 
 class Waves(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One canary first, then shares of all that is released, each wave within one zone at a time."""
+    """The waves: canaries first, then growing shares of all members, each wave within one zone."""
 
     canary: Count = 1
     shares: Annotated[tuple[PositiveShare, ...], Meta(min_length=1, max_length=100)] = (0.25, 1.0)
-    zones: tuple[Text, ...] = ()  # their order; empty: as the farm lists them
+    zones: tuple[Text, ...] = ()  # their order; if empty, as the farm lists them
 
 
 class CapacityLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What must stay while some are out."""
+    """What must remain in service during the release."""
 
     out_at_once: Count = 1
-    capacity: PositiveShare = (
-        0.8  # of what the fleet can do, by size, that must not be out or cold at any time
-    )
-    worth: Share = 0.9  # of what is asked for that must be served; below it nothing new goes out
-    halt_worth: Share = 0.5  # below it for half a minute the release has failed
-    worths: dict[str, Annotated[float, Meta(ge=0)]] = {}  # of a request, by class; 1 for those not named
+    # The share of the fleet's capacity, by size, that must be neither out of service nor cold at any time.
+    capacity: PositiveShare = 0.8
+    # Below this served share of the requested worth no update begins.
+    worth: Share = 0.9
+    # Below this share for half a minute the release has failed.
+    halt_worth: Share = 0.5
+    # Worth of a request, by class; 1 for classes that are not named.
+    worths: dict[str, Annotated[float, Meta(ge=0)]] = {}
 
 
 class Watch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How long, and how it is judged."""
-
-    before_s: PositiveSeconds = (
-        120.0  # in which members' usual answers are measured; in 20 s by a twelfth too high or low
-    )
-    warm_s: Seconds = 25.0  # that a member needs from its return until it does its full share
-    bake_s: Seconds = 60.0  # after each wave, once its servers are warm
-    doubt_s: Seconds = 40.0  # after which a canary found bad is judged once more: machines have bad spells
-    look_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0  # from one look at the farm to the next
-    empty_s: PositiveSeconds = 30.0  # for what is in flight at one that was taken out
-    wait_s: PositiveSeconds = (
-        600.0  # for a farm that is not fit to go on; then the release gives up, in a safe state
-    )
-    false_halt: Annotated[float, Meta(gt=0, le=0.2)] = (
-        0.01  # chance over the whole release, for a good version
-    )
-    slower: Annotated[float, Meta(ge=1, le=10)] = 1.1  # times as long as before that nobody minds
-    failures: Share = 0.002  # more of the answers that may fail unnoticed
+    """How long members are watched, and how the version is assessed."""
+
+    # Length of the baseline measurement; after 20 s the shares of slow responses are off by a twelfth.
+    before_s: PositiveSeconds = 120.0
+    # Time from its return until a member does its full share of the work.
+    warm_s: Seconds = 25.0
+    # Bake time: how long each wave is watched once its members are warm.
+    bake_s: Seconds = 60.0
+    # Delay until a canary that was found bad is analysed again: machines have transient slowdowns.
+    doubt_s: Seconds = 40.0
+    # Interval between snapshots.
+    look_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0
+    # Drain time: how long requests may be in flight after a cordon.
+    empty_s: PositiveSeconds = 30.0
+    # How long to wait for a farm that is not fit for updates; then the release gives up, in a safe state.
+    wait_s: PositiveSeconds = 600.0
+    # False-positive rate: the chance, over the whole release, that a good version is halted.
+    false_halt: Annotated[float, Meta(gt=0, le=0.2)] = 0.01
+    # Tolerated slowdown: the factor on response times.
+    slower: Annotated[float, Meta(ge=1, le=10)] = 1.1
+    # Tolerated share of failed responses, beyond that of the other members.
+    failures: Share = 0.002
     on_bad: Literal["back", "hold"] = "back"
 
 
 class Commands(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Argument lists, run without a shell.
+    """The commands, as argument lists that are run without a shell.
 
-    `{id}` and `{version}` stand for what is restarted; of nodes, `{door}` is where the process that is meant
-    has its door. `restart` of a node starts a second process there, `stop` tells one to end. `version` writes
-    what a member runs; `check` tries a member out and ends with 0 if what it answers is right.
+    `{id}` and `{version}` stand for the member and its version; for nodes, `{door}` is the admin address of
+    the process that is meant. `restart` of a node starts a second process there, `stop` asks one to end.
+    `version` prints what a member runs; `check` tests a member and exits with 0 if its responses are correct.
     """
 
     restart: Arguments
     stop: Arguments | None = None
     version: Arguments | None = None
     check: Arguments | None = None
-    time_limit_s: PositiveSeconds = 60.0  # of each
-    ready_s: PositiveSeconds = 60.0  # from a restart until it answers and is listed
+    time_limit_s: PositiveSeconds = 60.0  # of each command
+    ready_s: PositiveSeconds = 60.0  # from a restart until the member responds and is listed
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A release."""
+    """The plan of a release: `what` is updated from version `from_` to version `to`."""
 
     name: Text
     what: Literal["servers", "nodes"]
@@ -110,23 +116,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One of the processes that a release is about."""
+    """A job server or a node that a release updates."""
 
     id: str
     zone: str
-    size: float  # what it can do, beside the others
+    size: float  # capacity, relative to the others
 
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """Members of one zone, released together or one after the other, then watched."""
+    """Members of one zone that are updated before the next wave begins, and watched together."""
 
     zone: str
     members: tuple[Member, ...]
 
 
 def read_plan(path: Path) -> Plan:
-    """The plan of a file; PlanError with every fault, if it has any."""
+    """Read a plan file; PlanError with all its faults."""
     try:
         return parse_plan(path.read_text())
     except OSError as error:
@@ -148,7 +154,7 @@
 
 
 def semantic_faults(raw: dict[str, object]) -> list[str]:
-    """What the types can't say, as far as the values are there to be looked at."""
+    """The faults that the types cannot express, as far as the values are there."""
     return [*same_version(raw), *rising_shares(raw), *repeated_zones(raw), *unknown_fields(raw)]
 
 
@@ -185,7 +191,7 @@
         if isinstance(words, list) and all(isinstance(word, str) for word in words):
             yield from command_faults(f"commands.{name}", words, fields)
     if raw.get("what") == "nodes" and "stop" not in subtable(raw, "commands"):
-        yield "commands.stop: is missing; the process before must be told to end"
+        yield "commands.stop: is missing; the old process must be asked to stop"
 
 
 def command_faults(key: str, words: list[str], allowed: set[str]) -> Iterator[str]:
@@ -204,15 +210,16 @@
 
 
 def split_into_waves(plan: Plan, members: Sequence[Member]) -> list[Wave]:
-    """The canaries, then each share's members; a wave that meets several zones is one wave for each of them.
+    """The canaries, then the members of each share; a wave of several zones becomes one wave for each.
 
-    Zones come in the plan's order, those that it doesn't name after them. Within a zone the smallest goes
-    first: if a version is bad, the least is lost. PlanError if the plan names a zone that no member is in.
+    Zones come in the plan's order, then those that it does not name. Within a zone the smallest members are
+    first: if a version is bad, the least capacity is lost. PlanError if the plan names a zone without
+    members.
     """
     seen = list(dict.fromkeys(member.zone for member in members))
     missing = [zone for zone in plan.waves.zones if zone not in seen]
     if missing:
-        raise PlanError([f"waves.zones: nobody is in {zone}" for zone in missing])
+        raise PlanError([f"waves.zones: no member is in {zone}" for zone in missing])
     order = [*plan.waves.zones, *(zone for zone in seen if zone not in plan.waves.zones)]
     line = sorted(members, key=lambda member: (order.index(member.zone), member.size, member.id))
     ends = [min(plan.waves.canary, len(line))]
@@ -226,7 +233,7 @@
 
 
 def max_out_at_once(plan: Plan, wave: Wave, members: Sequence[Member]) -> int:
-    """How many of a wave may be out together so that enough capacity stays; 0: not even one."""
+    """How many members of a wave may be out of service together so that enough capacity remains."""
     whole = sum(member.size for member in members)
     spare, count = whole * (1 - plan.room.capacity) + 1e-9, 0
     for size in sorted((member.size for member in wave.members), reverse=True):
--- a/flaxstep/rollout/release.py
+++ b/flaxstep/rollout/release.py
@@ -1,4 +1,4 @@
-"""What is kept of a release, and who of its members stands where."""
+"""The stored state of a release, and its members by wave."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 
 
 class Release(msgspec.Struct):
-    """What is kept of a release beside its members. Times in s of the controller's clock."""
+    """The stored state of a release, without its members. Times in s of the controller's clock."""
 
     state: State = State.MEASURING
     why: str = ""
     wave: int = 0
-    measured: float = 0.0  # s
-    answers: int = 0  # that were measured in them
-    baked: float = 0.0  # of this wave
-    waiting: str = ""  # for what
+    measured: float = 0.0  # s of baseline measurement
+    answers: int = 0  # responses in that time
+    baked: float = 0.0  # s for which the current wave was watched
+    waiting: str = ""  # what the release waits for
     waits_since: float = 0.0
     looked: float = -1.0
     stake: float = 1.0
     wanted: float = 0.0
     served: float | None = None
-    low_since: float = -1.0  # since when less than the plan's `halt_worth` is served
-    doubted: float = -1.0  # when the canary was found bad once
+    low_since: float = -1.0  # since when less than the plan's `halt_worth` is served; -1: it is not
+    doubted: float = -1.0  # when a single released member was found bad; -1: none is under suspicion
     marks: dict[str, dict[str, SlowThreshold]] = {}
     pooled: dict[str, SlowThreshold] = {}
     bets: dict[str, object] = {}
 
 
 class WaveMembers:
-    """A release's members as its plan lines them up."""
+    """The members of a release, by the waves of its plan."""
 
     def __init__(self, plan: Plan, release: Release, members: dict[str, MemberState]) -> None:
         self.plan, self.release, self.members = plan, release, members
@@ -59,7 +59,7 @@
         return self.members.values()
 
     def current_wave(self) -> list[MemberState]:
-        """The members of the wave that is under way."""
+        """The members of the current wave."""
         return [m for m in self.all_members() if m.wave == self.release.wave and m.phase is not Phase.GONE]
 
     @property
@@ -70,12 +70,12 @@
         return all(m.version == self.plan.to and m.phase is Phase.SERVING for m in self.current_wave())
 
     def has_baseline(self) -> bool:
-        """Whether anybody is left to compare with."""
+        """Whether any member that is not released serves, to compare with."""
         return any(m.version != self.plan.to and m.phase is Phase.SERVING for m in self.all_members())
 
 
 def assign_waves(plan: Plan, members: list[Member]) -> dict[str, MemberState]:
-    """The members of a plan's waves, each with its wave."""
+    """The state of each member at the beginning, with its wave."""
     return {
         member.id: MemberState(member.id, member.zone, member.size, plan.from_, wave=number)
         for number, wave in enumerate(split_into_waves(plan, members))
--- a/flaxstep/rollout/snapshot.py
+++ b/flaxstep/rollout/snapshot.py
@@ -1,4 +1,4 @@
-"""What a look at the farm shows: the answers of doors and of the list, as values."""
+"""A snapshot of the farm: the responses of the admin ports and of the list service, as values."""
 
 from __future__ import annotations
 
@@ -6,38 +6,39 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-LatencyHistogram = Counter[int]  # good answers by bucket; bucket n ends at 2 ** ((n + 1) / 4) - 1 ms
+# Successful responses by latency bucket; bucket n ends at 2 ** ((n + 1) / 4) - 1 ms.
+LatencyHistogram = Counter[int]
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseCounters:
-    """What a server has answered a node in one class, since the server's process (or the node's) started."""
+    """One class of responses of a server to a node, since the server's process (or the node's) started."""
 
     ok: int = 0
-    failed: int = 0  # may have run
-    not_started: int = 0  # turned away, or no connection
+    failed: int = 0  # failed after the request may have run
+    not_started: int = 0  # rejected, or no connection: the request did not run
     latencies: LatencyHistogram = field(default_factory=Counter)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCounters:
-    """What one process of a node knows of a listed server."""
+    """What one process of a node reports of a listed server."""
 
     in_flight: int  # attempts
     cordoned: bool
-    started_ms: int  # Unix ms, as its list has it; 0: long ago
+    started_ms: int  # Unix time as the node has it from the list; 0: long ago
     classes: dict[str, ResponseCounters]
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessView:
-    """One process of a node, by its door. `results`: requests served, refused, failed, by class."""
+    """One process of a node. `results` counts requests served, refused and failed, by class."""
 
     admin_address: str
-    health: str  # "ready", or what else it said
+    health: str  # "ready", or another response of /admin/health
     servers: dict[str, ServerCounters]
     results: dict[str, tuple[int, int, int]]
-    reports_servers: bool = True  # of job servers; a node of an older version can't
+    reports_servers: bool = True  # whether it reports counters of job servers; older versions do not
 
     @property
     def ready(self) -> bool:
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeView:
-    """A node's processes that answered; `why` none did."""
+    """A node's processes that responded. `error` says why none did."""
 
     name: str
     processes: tuple[ProcessView, ...]
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A job server's line in the list."""
+    """A job server as the list has it."""
 
     id: str
     address: str
@@ -74,28 +75,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The farm as one look shows it. `listed` is None where the list did not answer."""
+    """The farm at one time. `listed` is None if the list service did not respond."""
 
-    taken_at_s: float  # s, when the look began
+    taken_at_s: float  # when the collection began
     nodes: dict[str, NodeView]
     listed: dict[str, ListedServer] | None
 
     def in_flight(self, server: str) -> int | None:
-        """Attempts out at a server from all nodes; None if a node did not tell."""
+        """Attempts in flight at a server from all nodes; None if a node did not report it."""
         for node in self.nodes.values():
             if not node.processes or not all(process.reports_servers for process in node.processes):
                 return None
         return sum(held.in_flight for held in self.server_counters(server))
 
     def cordoned_anywhere(self, server: str) -> bool:
-        """Whether a server is out by hand at any node."""
+        """Whether a server is cordoned at any node."""
         return any(held.cordoned for held in self.server_counters(server))
 
     def cordoned_everywhere(self, server: str) -> bool:
-        """Whether it is out by hand at every node that lists it."""
+        """Whether a server is cordoned at every node that lists it."""
         return all(held.cordoned for held in self.server_counters(server))
 
     def server_counters(self, server: str) -> Iterator[ServerCounters]:
-        """What each process of each node knows of a server."""
+        """The counters of a server from each process of each node."""
         for node in self.nodes.values():
             yield from (p.servers[server] for p in node.processes if server in p.servers)
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -1,7 +1,8 @@
-"""The whole release: which member goes next, when to wait, when it is bad, and the way back. Pure.
+"""The state machine of a whole release: which member is next, when to wait, halt or roll back. Pure.
 
-`tick` is told the time and a look at the farm and returns acts; `ended` takes what an action came to. Nothing is
-remembered that a look can show, so a release goes on after its controller was killed at any point.
+`tick` takes the time and a snapshot of the farm and returns actions; `on_action_ended` takes the result of
+one. Nothing is stored that a snapshot can show, so a release goes on after its controller was killed at any
+point.
 """
 
 from __future__ import annotations
@@ -30,12 +31,13 @@
 from flaxstep.rollout.snapshot import Snapshot
 from flaxstep.rollout.wave_evaluation import WaveEvaluation
 
-LOW_WORTH_LIMIT_S = 30.0  # s: bursts end sooner, and are no version's fault
-MAX_UPDATE_TRIES = 4  # trips of one member that came to nothing, for reasons of the farm's
+# Too little worth served for this long fails the release; bursts of load end sooner.
+LOW_WORTH_LIMIT_S = 30.0
+MAX_UPDATE_TRIES = 4  # updates of one member that failed for reasons of the farm, not of the version
 
 
 class ReleaseStateMachine:
-    """A release of a plan among members. `doors` are the nodes', by name."""
+    """Carries a plan out among members. `admin_addresses` are those of the nodes, by name."""
 
     def __init__(
         self,
@@ -62,10 +64,10 @@
         self.wave_members = WaveMembers(plan, release, members)
         self.evaluation = WaveEvaluation(self.wave_members)
 
-    # What a look brings.
+    # Snapshots.
 
     def tick(self, now: float, snapshot: Snapshot) -> list[Action]:
-        """What is to be done now."""
+        """Process a snapshot and return the actions to perform now."""
         passed = now - self.release.looked if self.release.looked >= 0 else 0.0
         self.release.looked = now
         if self.plan.what == "servers" and snapshot.listed is not None:
@@ -86,7 +88,7 @@
         return actions
 
     def hard_limits(self, now: float) -> None:
-        """What needs no comparison."""
+        """Halt or roll back for reasons that need no comparison with other members."""
         served, release = self.release.served, self.release
         if served is None or served >= self.plan.room.halt_worth:
             release.low_since = -1.0
@@ -97,10 +99,10 @@
         if why:
             self.on_bad_version(why, now)
 
-    # What is under way.
+    # Members that are being updated.
 
     def step_members(self, snapshot: Snapshot, now: float) -> Iterator[Action]:
-        """The next step of each member that is between two versions."""
+        """Yield the next action of each member that is between two versions."""
         state = self.release.state
         wanted = {State.IN_PROGRESS: self.plan.to, State.ROLLING_BACK: self.plan.from_}.get(state)
         for member in self.members.values():
@@ -113,32 +115,32 @@
                 yield action
 
     def on_action_ended(self, action: Action, result: ActionResult, now: float) -> None:
-        """What an action came to."""
+        """Process the result of an action."""
         self.member_steps.on_action_ended(self.members[action.member], action, result, now)
 
     def recover(self, unfinished: Iterable[Action], now: float) -> None:
-        """Go on where a controller that was killed has stopped. `left`: its acts that have no result."""
+        """Resume after a controller was killed. `unfinished` are its actions that have no result."""
         self.release.looked, self.release.waiting = -1.0, ""
         for member in self.members.values():
             member.open, member.asked = 0, -1e9
             if member.phase not in (Phase.SERVING, Phase.GONE, Phase.WARMING, Phase.DOWN):
-                member.since = now  # its time runs anew: nobody looked meanwhile
+                member.since = now  # restart its time limit: no controller was running meanwhile
         for action in unfinished:
             self.member_steps.on_result_lost(self.members[action.member], action, now)
 
-    # Forward.
+    # The rollout.
 
     def check_baseline(self) -> None:
-        """A farm that hardly answers anything can't be judged by."""
+        """Give up if the farm responds too rarely for a baseline."""
         watch, release = self.plan.watch, self.release
         if release.measured > watch.before_s + watch.wait_s:
-            self.finish(State.ABANDONED, f"only {release.answers} answers to measure before the release")
+            self.finish(State.ABANDONED, f"only {release.answers} responses to measure before the release")
 
     def advance(self, snapshot: Snapshot, now: float) -> None:
-        """Send the next members out, or watch the wave, or end."""
+        """Update the next members, or watch the current wave, or finish."""
         release = self.release
         if release.doubted >= 0:
-            self.set_waiting("one machine was found worse than the rest, and is judged once more", now)
+            self.set_waiting("one machine was found worse than the rest, and is analysed once more", now)
             return
         if self.wave_members.wave_is_updated():
             if self.wave_members.current_wave() and not self.evaluation.baked_long_enough():
@@ -155,7 +157,7 @@
         )
 
     def begin_updates(self, snapshot: Snapshot, version: str, now: float) -> str:
-        """Begin the trips of as many as there is room for; or why not even one, if none is under way."""
+        """Begin as many updates as the limits allow; if none is under way, return why none can begin."""
         reason = ""
         for member in self.candidates(version):
             reason = capacity_reason(
@@ -166,14 +168,14 @@
             if member.tries >= MAX_UPDATE_TRIES:
                 reason = f"{member.id}, {member.tries} times: {member.note or member.fault}"
             elif member.phase is Phase.SERVING and snapshot.cordoned_anywhere(member.id):
-                reason = f"{member.id} is out by somebody else's hand"
+                reason = f"{member.id} was cordoned by somebody else"
             else:
                 self.member_steps.begin_update(member, version, now)
         idle_phases = (Phase.SERVING, Phase.DOWN, Phase.GONE)
         return reason if all(m.phase in idle_phases for m in self.members.values()) else ""
 
     def candidates(self, version: str) -> list[MemberState]:
-        """Who may set out for a version now, in this order."""
+        """The members that may be updated to a version now, in this order."""
         if version == self.plan.to:
             eligible_phases = {Phase.SERVING, Phase.DOWN}
             return [
@@ -181,7 +183,8 @@
                 for m in self.wave_members.current_wave()
                 if m.version != version and m.phase in eligible_phases
             ]
-        # A bad version need not warm up first. Who is out costs no room; of the others the smallest first.
+        # A bad version need not warm up first. Members that are out of service cost no capacity; of the
+        # others the smallest are first.
         eligible_phases = {Phase.SERVING, Phase.WARMING}
         if self.plan.what == "servers":
             eligible_phases |= {Phase.DOWN, Phase.UNCORDONING}
@@ -194,11 +197,11 @@
         )
 
     def rollback_failed(self, member: MemberState) -> bool:
-        """It could not be brought back to the version before either."""
+        """Whether a member could not be brought back to the old version either."""
         return member.phase is Phase.DOWN and member.target == self.plan.from_
 
     def set_waiting(self, reason: str, now: float) -> None:
-        """Keep why nothing goes on, and give up when that has lasted too long."""
+        """Record why the release waits, and give up when it has waited too long."""
         release = self.release
         if reason and not release.waiting:
             release.waits_since = now
@@ -206,10 +209,10 @@
         if reason and now - release.waits_since > self.plan.watch.wait_s:
             self.finish(State.ABANDONED, f"waited {self.plan.watch.wait_s:g} s: {reason}")
 
-    # The way back, and the end.
+    # Rollback and the end.
 
     def on_bad_version(self, why: str, now: float) -> None:
-        """The version is bad."""
+        """Roll back or halt, as the plan says."""
         if self.plan.watch.on_bad == "back":
             self.start_rollback(why)
         else:
@@ -223,7 +226,7 @@
     def continue_rollback(self, snapshot: Snapshot, now: float) -> None:
         for member in self.members.values():
             if member.phase is Phase.VERIFYING and member.target == self.plan.to and not member.open:
-                member.enter_phase(Phase.DOWN, now, "the release goes back")  # no need to call it back first
+                member.enter_phase(Phase.DOWN, now, "the release goes back")  # no need to uncordon it first
         wanted = [
             m for m in self.members.values() if m.phase is not Phase.GONE and not self.rollback_failed(m)
         ]
@@ -237,19 +240,19 @@
         release.state, release.why, release.waiting = state, why, ""
 
     def apply_order(self, order: str) -> str:
-        """What staff want; why not, if it can't be."""
+        """Apply an order of an operator; return why it is refused, or an empty string."""
         state = self.release.state
         if order == "pause" and state in ACTIVE_STATES:
             self.release.state = State.PAUSED
         elif order == "resume" and state in (State.PAUSED, State.HALTED, State.ABANDONED):
-            if state is not State.PAUSED:  # staff have seen what spoke against it
+            if state is not State.PAUSED:  # operators have seen the evidence against the version
                 self.evaluation.reset()
                 for member in self.members.values():
                     member.fault, member.crashes, member.tries = "", 0, 0
             measured = bool(self.release.pooled)
             self.release.state, self.release.why = State.IN_PROGRESS if measured else State.MEASURING, ""
         elif order == "back" and state not in (State.ROLLING_BACK, State.ROLLED_BACK):
-            self.start_rollback("called back by staff")
+            self.start_rollback("rolled back by an operator")
         else:
             return f"the release is {state.value}"
         self.release.waiting = ""
@@ -257,7 +260,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether nothing is left to be done."""
+        """Whether the release has ended and no member is being updated."""
         down = Phase.DOWN if self.plan.what == "servers" else Phase.SERVING
         final_phases = (Phase.SERVING, Phase.GONE, down)
         return self.release.state in END_STATES and all(
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -51,8 +51,11 @@
     [
         ("name = 3", ["name: ", "discovery: is missing", "state: is missing", "nodes: is missing"]),
         (FARM + '[[nodes]]\nname = "n0"\ndoors = ["here"]\n', ["nodes[1].doors[0]: "]),
-        (FARM + '[[nodes]]\nname = "n0"\ndoors = ["127.0.0.1:1"]\n', ["node n0 stands", "door 127.0.0.1:1"]),
-        (FARM.replace("[[nodes]]", "[nodes]"), ["nodes: an array of tables is wanted"]),
+        (
+            FARM + '[[nodes]]\nname = "n0"\ndoors = ["127.0.0.1:1"]\n',
+            ["node n0 is listed twice", "door 127.0.0.1:1"],
+        ),
+        (FARM.replace("[[nodes]]", "[nodes]"), ["nodes: an array of tables is required"]),
         ("name = ", ["not TOML"]),
         (None, ["farm.toml: No such file or directory"]),
     ],
@@ -71,8 +74,8 @@
     for command, word in (
         (["status"], "no release has been started"),
         (["pause"], "no release has been started"),
-        (["check", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not answer"),
-        (["run", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not answer"),
+        (["check", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not respond"),
+        (["run", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not respond"),
     ):
         done = call(folder, *command)
         assert done.exit_code == 2 and word in done.output and len(done.output.splitlines()) == 1
@@ -94,7 +97,7 @@
     store.acquire_claim()
     members = {"s-1": MemberState("s-1", "a", 1.0, "v1"), "s-2": MemberState("s-2", "b", 1.0, "v1", wave=1)}
     number = store.create_release(
-        plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not answer"), members
+        plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not respond"), members
     )
     [act] = store.write_intents(
         number, Release(state=State.IN_PROGRESS), members, [Action(ActionKind.CORDON, "s-1")]
--- a/tests/test_release_course.py
+++ b/tests/test_release_course.py
@@ -76,9 +76,12 @@
 
 
 WAITS = {
-    "silent node": ("does not answer", lambda farm, on: farm.silent.update({"n1"} if on else ())),
-    "burst": ("of the worth", lambda farm, on: setattr(farm, "served", 0.6 if on else 1.0)),
-    "another's cordon": ("hand", lambda farm, on: [out.add("s-2") for out in farm.cordons.values()]),
+    "silent node": ("does not respond", lambda farm, on: farm.silent.update({"n1"} if on else ())),
+    "burst": ("of the requested worth", lambda farm, on: setattr(farm, "served", 0.6 if on else 1.0)),
+    "another's cordon": (
+        "cordoned by somebody else",
+        lambda farm, on: [out.add("s-2") for out in farm.cordons.values()],
+    ),
 }
 
 
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -70,9 +70,9 @@
         ({"/admin/health": (503, "quiesced")}, "quiesced", ""),
         ({"/admin/servers": (404, "no such call")}, "ready", ""),  # of an older version
         ({"/admin/servers": (200, json.dumps(BEFORE))}, "ready", ""),
-        ({"/admin/stats": (500, "failed")}, "", "answers 500"),
-        ({"/admin/servers": (200, "{")}, "", "can't be read"),
-        ({"/admin/servers": (200, '{"s-1": 3}')}, "", "can't be read"),
+        ({"/admin/stats": (500, "failed")}, "", "status 500"),
+        ({"/admin/servers": (200, "{")}, "", "cannot parse"),
+        ({"/admin/servers": (200, '{"s-1": 3}')}, "", "cannot parse"),
         ({"/admin/servers": b"what?\r\n\r\n"}, "", "invalid response"),
         ({"/admin/health": b""}, "", "ended without a response"),
         (
--- a/tests/test_release_plan.py
+++ b/tests/test_release_plan.py
@@ -82,7 +82,7 @@
         (GOOD.replace("[0.5, 1]", "[0.5]"), "never ends"),
         (GOOD.replace("[0.5, 1]", "[]"), "waves.shares"),
         (GOOD.replace('"--id={id}", ', ""), "no {id}"),
-        ("waves = 3" + GOOD.replace("[waves]", "[other]"), "waves: a table is wanted"),
+        ("waves = 3" + GOOD.replace("[waves]", "[other]"), "waves: a table is required"),
         (GOOD + "[watch]\nfalse_halt = 0.5", "watch.false_halt"),
         (GOOD + "[watch]\nbake_s = nan", "watch.bake_s"),
     ],
@@ -140,5 +140,5 @@
     order = list(dict.fromkeys(wave.zone for wave in split_into_waves(parse_plan(GOOD), farm)))
     assert order == ["b", "a", "c"]
     assert split_into_waves(parse_plan(GOOD), farm)[0].members == (farm[2], farm[3])
-    with pytest.raises(PlanError, match="nobody is in b"):
+    with pytest.raises(PlanError, match="no member is in b"):
         split_into_waves(parse_plan(GOOD), [member for member in farm if member.zone != "b"])
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -201,14 +201,14 @@
 async def unreachable_node(live: Live) -> None:
     await live.stands(lambda kept: kept.release.measured > 1.0)
     spec = await live.fault("refuse", "controller", "node:1")
-    await live.stands(lambda kept: "n1 does not answer" in kept.release.waiting)
+    await live.stands(lambda kept: "n1 does not respond" in kept.release.waiting)
     await live.stage.heal(1, spec)
 
 
 async def cut_zone(live: Live) -> None:
     await live.called("restart")
     spec = await live.fault("silent", "controller", "zone:1")
-    await live.stands(lambda kept: "does not answer" in kept.release.waiting)
+    await live.stands(lambda kept: "does not respond" in kept.release.waiting)
     await live.stage.heal(1, spec)
 
 
@@ -344,7 +344,7 @@
     "node unreachable": Case("v2", State.DONE, unreachable_node),
     "zone cut off": Case("v2", State.DONE, cut_zone, long=True),
     "zone cut off for good": Case(
-        "v2", State.ABANDONED, cut_zone_for_good, "does not answer", wait=4, long=True
+        "v2", State.ABANDONED, cut_zone_for_good, "does not respond", wait=4, long=True
     ),
     "burst": Case("v2", State.DONE, extra=BURST, wait=60, long=True),
     "server leaves": Case("v2", State.DONE, server_leaves, long=True),
