--- a/flaxstep/rollout/evidence.py
+++ b/flaxstep/rollout/evidence.py
@@ -73,7 +73,7 @@
     def update(self, snapshot: Snapshot) -> dict[str, Counts]:
         """The responses since the last snapshot, by member. A process that was not in it adds nothing."""
         found: dict[str, Counts] = {}
-        asked = served = 0.0
+        requested = served = 0.0
         last, self.last_counters = self.last_counters, {}
         last_results, self.last_results = self.last_results, {}
         for node in snapshot.nodes.values():
@@ -83,7 +83,7 @@
                     self.last_results[key] = now
                     increase = counter_increase(last_results.get(key), now)
                     worth = self.worths.get(cls, 1.0)
-                    asked, served = asked + worth * sum(increase), served + worth * increase[0]
+                    requested, served = requested + worth * sum(increase), served + worth * increase[0]
                     if self.kind == "nodes":
                         counts = found.setdefault(node.name, Counts())
                         counts.succeeded, counts.failed = (
@@ -105,7 +105,7 @@
                             server_counters.started_ms,
                             counters,
                         )
-        self.worth_history.append((snapshot.taken_at_s, asked, served))
+        self.worth_history.append((snapshot.taken_at_s, requested, served))
         while self.worth_history[0][0] < snapshot.taken_at_s - WORTH_WINDOW_S:
             self.worth_history.popleft()
         return found
@@ -133,8 +133,12 @@
 
     def served_worth_share(self) -> float | None:
         """The served share of the worth requested lately; None if too little was requested."""
-        asked = sum(line[1] for line in self.worth_history)
-        return sum(line[2] for line in self.worth_history) / asked if asked >= MIN_WORTH_REQUESTED else None
+        requested = sum(line[1] for line in self.worth_history)
+        return (
+            sum(line[2] for line in self.worth_history) / requested
+            if requested >= MIN_WORTH_REQUESTED
+            else None
+        )
 
     # The baseline.
 
--- a/flaxstep/rollout/io/snapshot_collector.py
+++ b/flaxstep/rollout/io/snapshot_collector.py
@@ -48,7 +48,7 @@
             call(admin_address, "GET", "/admin/servers"), call(admin_address, "GET", "/admin/stats")
         )
         if servers_status not in (200, 404) or stats_status != 200:
-            return f"its counters: status {stats_status if servers_status == 200 else servers_status}"
+            return f"counters: status {stats_status if servers_status == 200 else servers_status}, not 200"
         lines = json.loads(servers) if servers_status == 200 else {}
         server_counters = {name: parse_server_counters(line) for name, line in lines.items()}
         # Older versions of the node lack this call, or do not report cordons.
--- a/flaxstep/rollout/state_machine.py
+++ b/flaxstep/rollout/state_machine.py
@@ -76,7 +76,7 @@
             self.on_bad_version(why, now)
         actions = list(self.step_members(snapshot, now))
         if self.release.state in ACTIVE_STATES:
-            self.hard_limits(now)
+            self.check_hard_limits(now)
         if self.release.state is State.MEASURING:
             self.check_baseline()
         elif self.release.state is State.IN_PROGRESS:
@@ -87,7 +87,7 @@
             self.release.waiting = ""
         return actions
 
-    def hard_limits(self, now: float) -> None:
+    def check_hard_limits(self, now: float) -> None:
         """Halt or roll back for reasons that need no comparison with other members."""
         served, release = self.release.served, self.release
         if served is None or served >= self.plan.room.halt_worth:
@@ -188,13 +188,11 @@
         eligible_phases = {Phase.SERVING, Phase.WARMING}
         if self.plan.what == "servers":
             eligible_phases |= {Phase.DOWN, Phase.UNCORDONING}
-        candidates = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
-        candidates = [
-            m for m in candidates if m.phase in eligible_phases and not m.open and not self.rollback_failed(m)
+        outdated = [m for m in self.members.values() if m.version != version or m.phase is Phase.DOWN]
+        outdated = [
+            m for m in outdated if m.phase in eligible_phases and not m.open and not self.rollback_failed(m)
         ]
-        return sorted(
-            candidates, key=lambda m: (not m.out_of_service, m.phase is Phase.SERVING, m.size, m.id)
-        )
+        return sorted(outdated, key=lambda m: (not m.out_of_service, m.phase is Phase.SERVING, m.size, m.id))
 
     def rollback_failed(self, member: MemberState) -> bool:
         """Whether a member could not be brought back to the old version either."""
--- a/tests/farms.py
+++ b/tests/farms.py
@@ -1,4 +1,4 @@
-"""A farm in memory for releases: what acts do to it, and what a look shows. Time is the test's."""
+"""A farm in memory for tests of releases: what actions change, and its snapshots. Tests set the time."""
 
 from __future__ import annotations
 
@@ -66,40 +66,44 @@
 
 
 class FakeFarm:
-    """`slower`, `failing`, `broken` say what is wrong with a version; `silent` nodes do not answer."""
+    """A farm in memory.
+
+    `slowdown`, `failure_share` and the sets of versions say what is wrong with a version; `silent_nodes` do
+    not respond.
+    """
 
     def __init__(self, servers: int = 4, nodes: int = 3, seed: int = 1) -> None:
         self.chance = random.Random(seed)
         self.servers = {f"s-{i}": Server() for i in range(servers)}
         self.cordons: dict[str, set[str]] = {f"n{i}": set() for i in range(nodes)}
         self.doors: dict[str, dict[str, str]] = {n: {f"{n}a": "v1"} for n in self.cordons}  # door: version
-        self.silent: set[str] = set()
-        self.failing: dict[str, float] = {}  # share of answers, by version
-        self.slower: dict[str, float] = {}
-        self.never_ready: set[str] = set()
-        self.wrong: set[str] = set()
-        self.hanging: set[str] = set()  # versions that the restart command hangs on
+        self.silent_nodes: set[str] = set()
+        self.failure_share: dict[str, float] = {}  # share of failed responses, by version
+        self.slowdown: dict[str, float] = {}
+        self.never_ready_versions: set[str] = set()
+        self.wrong_versions: set[str] = set()
+        self.hanging_versions: set[str] = set()  # versions that the restart command hangs on
         self.served = 1.0
         self.now, self.done = 0.0, 0
         self.counts: dict[tuple[str, str], tuple[int, int, Counter[int]]] = {}
         self.results = {n: (0, 0, 0) for n in self.cordons}
         self.most_out = 0
 
-    # What a look shows.
+    # Traffic and snapshots.
 
     def pass_second(self) -> None:
-        """A second of traffic at every server in use."""
+        """Simulate a second of traffic at every server in use."""
         self.now += 1.0
-        self.most_out = max(self.most_out, sum(not self.used(s) for s in self.servers))
+        self.most_out = max(self.most_out, sum(not self.in_use(s) for s in self.servers))
         for node in self.cordons:
             bad = 0
             for name, server in self.servers.items():
                 if name in self.cordons[node] or not server.up:
                     continue
                 failed = sum(
-                    self.chance.random() < self.failing.get(server.version, 0.002) for _ in range(15)
+                    self.chance.random() < self.failure_share.get(server.version, 0.002) for _ in range(15)
                 )
-                long = self.slower.get(server.version, 1.0)
+                long = self.slowdown.get(server.version, 1.0)
                 took = Counter(
                     int(4 * math.log2(1 + 40 * long * math.exp(self.chance.gauss(0, 0.4)))) for _ in range(15)
                 )
@@ -111,11 +115,11 @@
             whole = round(60 * self.served)
             self.results[node] = served + whole, refused + 60 - whole, aborted + bad
 
-    def used(self, name: str) -> bool:
+    def in_use(self, name: str) -> bool:
         return self.servers[name].up and not any(name in out for out in self.cordons.values())
 
-    def look(self) -> Snapshot:
-        nodes = {n: self.node(n) for n in self.cordons}
+    def snapshot(self) -> Snapshot:
+        nodes = {n: self.node_view(n) for n in self.cordons}
         lines = {
             name: ListedServer(name, name, "z", 1.0, "active", s.started)
             for name, s in self.servers.items()
@@ -123,8 +127,8 @@
         }
         return Snapshot(self.now, nodes, lines)
 
-    def node(self, node: str) -> NodeView:
-        if node in self.silent:
+    def node_view(self, node: str) -> NodeView:
+        if node in self.silent_nodes:
             return NodeView(node, (), "no response within 1 s")
         servers = {}
         for name, server in self.servers.items():
@@ -138,41 +142,41 @@
         return NodeView(node, tuple(found))
 
     def health(self, door: str, version: str) -> str:
-        return "starting" if door.endswith("b") and version in self.never_ready else "ready"
+        return "starting" if door.endswith("b") and version in self.never_ready_versions else "ready"
 
-    # What acts do.
+    # Actions.
 
-    def do(self, action: Action) -> ActionResult:
+    def perform(self, action: Action) -> ActionResult:
         self.done += 1
         if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
-            silent = sorted(self.silent)
-            for node in set(self.cordons) - self.silent:
+            silent = sorted(self.silent_nodes)
+            for node in set(self.cordons) - self.silent_nodes:
                 if action.kind is ActionKind.CORDON:
                     self.cordons[node].add(action.member)
                 else:
                     self.cordons[node].discard(action.member)
             return ActionResult(not silent, f"{silent[0]}: no answer" if silent else "")
         if action.member in self.cordons:
-            return self.at_node(action)
+            return self.perform_at_node(action)
         server = self.servers[action.member]
         if action.kind is ActionKind.RESTART:
             assert all(action.member in out for out in self.cordons.values()), "restarted while in use"
             server.restarts.append(action.version)
-            if action.version in self.hanging:
+            if action.version in self.hanging_versions:
                 return ActionResult(False, "restart: not done after 5 s", outcome_known=False)
             server.version, server.started = action.version, int(1000 * (2 + self.now))
-            server.up = action.version not in self.never_ready
+            server.up = action.version not in self.never_ready_versions
             for node in self.cordons:
                 self.counts.pop((node, action.member), None)
         if action.kind is ActionKind.PING:
             return ActionResult(server.up, "" if server.up else "connection refused")
         if action.kind is ActionKind.CHECK:
-            return ActionResult(server.version not in self.wrong, "41 is not 42")
+            return ActionResult(server.version not in self.wrong_versions, "41 is not 42")
         return ActionResult(True, server.version)
 
-    def at_node(self, action: Action) -> ActionResult:
+    def perform_at_node(self, action: Action) -> ActionResult:
         doors = self.doors[action.member]
-        if action.kind is ActionKind.RESTART and action.version not in self.hanging:
+        if action.kind is ActionKind.RESTART and action.version not in self.hanging_versions:
             assert action.admin_address not in doors, "started twice"
             doors[action.admin_address] = action.version
         elif action.kind is ActionKind.STOP:
@@ -180,8 +184,8 @@
         elif action.kind is ActionKind.VERSION:
             return ActionResult(action.admin_address in doors, doors.get(action.admin_address, "no answer"))
         elif action.kind is ActionKind.CHECK:
-            return ActionResult(action.version not in self.wrong, "41 is not 42")
-        hung = action.kind is ActionKind.RESTART and action.version in self.hanging
+            return ActionResult(action.version not in self.wrong_versions, "41 is not 42")
+        hung = action.kind is ActionKind.RESTART and action.version in self.hanging_versions
         return ActionResult(not hung, "start: not done after 5 s" if hung else "", outcome_known=not hung)
 
 
@@ -190,11 +194,11 @@
 
 
 class Run:
-    """A release carried out on a fake farm, as the controller does it, killed where the test wants it."""
+    """Carries out a release on a fake farm as the controller does; tests can kill it at any kill point."""
 
     def __init__(self, farm: FakeFarm, wanted: Plan, path: Path) -> None:
         self.farm, self.plan, self.path = farm, wanted, path
-        self.points = 0  # places passed at which a controller may be killed
+        self.kill_points = 0  # points passed at which a controller may be killed
         self.kill_at: set[int] = set()
         self.start()
 
@@ -215,26 +219,26 @@
         for number in kept.unfinished_actions:
             self.store.write_result(self.number, self.release, self.members, number, RESULT_LOST)
 
-    def point(self) -> None:
-        self.points += 1
-        if self.points in self.kill_at:
+    def pass_kill_point(self) -> None:
+        self.kill_points += 1
+        if self.kill_points in self.kill_at:
             raise Killed
 
-    def second(self) -> None:
-        """One look and what follows from it; a controller that is killed starts again."""
+    def run_second(self) -> None:
+        """Run one cycle of the controller; restart the controller if it is killed."""
         self.farm.pass_second()
         try:
-            actions = self.state_machine.tick(self.farm.now, self.farm.look())
+            actions = self.state_machine.tick(self.farm.now, self.farm.snapshot())
             changing = any(action.kind in MUTATING_ACTIONS for action in actions)
             if changing:
-                self.point()
+                self.pass_kill_point()
             ids = self.store.write_intents(self.number, self.release, self.members, actions)
             for number, action in zip(ids, actions, strict=True):
                 if number:
-                    self.point()
-                result = self.farm.do(action)
+                    self.pass_kill_point()
+                result = self.farm.perform(action)
                 if number:
-                    self.point()
+                    self.pass_kill_point()
                 self.members[action.member].open = 0
                 self.state_machine.on_action_ended(action, result, self.farm.now)
                 self.store.write_result(self.number, self.release, self.members, number, result)
@@ -244,11 +248,11 @@
             self.start()
 
     def run(self, seconds: int = 900) -> Release:
-        """Until the release is over."""
+        """Run until the release is over."""
         for _ in range(seconds):
             if self.state_machine.finished:
                 break
-            self.second()
+            self.run_second()
         return self.release
 
     @property
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -1,4 +1,4 @@
-"""The command line of releases: what it refuses, in what words, and what it tells."""
+"""The command line of releases: its errors, its output, and orders of operators."""
 
 from __future__ import annotations
 
@@ -10,8 +10,7 @@
 from click.testing import CliRunner, Result
 
 from flaxstep.cli import main
-from flaxstep.rollout.actions import Action, ActionKind, MemberState
-from flaxstep.rollout.actions import ActionResult as Came
+from flaxstep.rollout.actions import Action, ActionKind, ActionResult, MemberState
 from flaxstep.rollout.farm import read_farm
 from flaxstep.rollout.io.controller import resume_or_create_release
 from flaxstep.rollout.io.store import Store, StoreError
@@ -60,7 +59,7 @@
         (None, ["farm.toml: No such file or directory"]),
     ],
 )
-def test_a_wrong_farm_file_is_told_fault_by_fault(folder: Path, farm: str | None, words: list[str]) -> None:
+def test_every_fault_of_a_farm_file_is_reported(folder: Path, farm: str | None, words: list[str]) -> None:
     (folder / "farm.toml").unlink()
     if farm is not None:
         (folder / "farm.toml").write_text(farm)
@@ -70,7 +69,7 @@
         assert len(done.output.splitlines()) == len(words)
 
 
-def test_what_needs_a_farm_that_is_not_there_says_so(folder: Path) -> None:
+def test_commands_report_that_a_farm_is_missing(folder: Path) -> None:
     for command, word in (
         (["status"], "no release has been started"),
         (["pause"], "no release has been started"),
@@ -81,7 +80,7 @@
         assert done.exit_code == 2 and word in done.output and len(done.output.splitlines()) == 1
 
 
-def test_an_open_release_goes_on_with_another_on_bad_but_with_no_other_plan(folder: Path) -> None:
+def test_an_open_release_resumes_with_another_on_bad_but_not_with_another_plan(folder: Path) -> None:
     farm, store, first = read_farm(folder / "farm.toml"), Store(folder / "kept" / "state"), plan()
     store.acquire_claim()
     number = store.create_release(first, Release(), {"s-1": MemberState("s-1", "a", 1.0, "v1")})
@@ -99,10 +98,12 @@
     number = store.create_release(
         plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not respond"), members
     )
-    [act] = store.write_intents(
+    [action] = store.write_intents(
         number, Release(state=State.IN_PROGRESS), members, [Action(ActionKind.CORDON, "s-1")]
     )
-    store.write_result(number, Release(state=State.IN_PROGRESS), members, act, Came(False, "n0: no answer"))
+    store.write_result(
+        number, Release(state=State.IN_PROGRESS), members, action, ActionResult(False, "n0: no answer")
+    )
     assert f"process {store.holder().split()[-1]}" in call(folder, "status").output
     store.release_claim()
 
@@ -118,8 +119,8 @@
     )
     assert "no: n0: no answer" in call(folder, "history").output
     assert call(folder, "close").exit_code == 2  # it is under way
-    said = call(folder, "pause")
-    assert said.exit_code == 0 and "no controller runs" in said.output
+    paused = call(folder, "pause")
+    assert paused.exit_code == 0 and "no controller runs" in paused.output
     assert [what for _, what in store.pending_orders(number)] == ["pause"]
 
     store.acquire_claim()
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -1,4 +1,4 @@
-"""The analysis keeps its promise over drawn releases, and says what it bets on."""
+"""The canary analysis keeps its false-positive rate over drawn releases, and reports its evidence."""
 
 from __future__ import annotations
 
@@ -12,8 +12,10 @@
 COUNT = 120
 
 
-def look(released: tuple[int, int, int], rest: tuple[int, int, int], members: int = 6) -> list[MemberSample]:
-    """One member with the version beside some without: answers, failed, slow of each."""
+def samples(
+    released: tuple[int, int, int], rest: tuple[int, int, int], members: int = 6
+) -> list[MemberSample]:
+    """One released member and `members` others: responses, failed, slow of each."""
     lines = [MemberSample("new", True, *released, baseline_slow_share=0.25)]
     return lines + [MemberSample(f"old {i}", False, *rest, baseline_slow_share=0.25) for i in range(members)]
 
@@ -23,7 +25,7 @@
     outcomes = [releases.release(seed, version) for seed in range(COUNT)]
     halted = [outcome for outcome in outcomes if outcome.halted >= 0]
     if version == "good":
-        assert len(halted) <= 4  # 1 in 100 promised; 5 of 120 would come once in 140 times if it is kept
+        assert len(halted) <= 4  # the rate is 1 in 100; 5 of 120 would come once in 140 times at that rate
         return
     assert len(halted) >= 0.97 * COUNT
     assert (
@@ -32,37 +34,37 @@
     assert sorted(outcome.harmed for outcome in outcomes)[COUNT // 2] < 1 / 200
 
 
-def test_load_that_moves_all_is_no_reason_and_a_version_that_is_slower_still_is() -> None:
+def test_load_that_slows_all_members_is_tolerated_and_a_slower_version_is_not() -> None:
     analysis = CanaryAnalysis(0.01, 0.002)
     for _ in range(60):  # all of them three times as often slow as usual
-        assert analysis.update(look((30, 0, 22), (30, 0, 22))).finding is Finding.GOOD
-    while (assessment := analysis.update(look((30, 0, 29), (30, 0, 20)))).finding is Finding.GOOD:
+        assert analysis.update(samples((30, 0, 22), (30, 0, 22))).finding is Finding.GOOD
+    while (assessment := analysis.update(samples((30, 0, 29), (30, 0, 20)))).finding is Finding.GOOD:
         pass
     assert assessment.finding is Finding.BAD and assessment.stake >= assessment.threshold == 200.0
     assert assessment.reason.startswith("slow answers:") and "expected" in assessment.reason
 
 
-def test_a_cold_member_s_answers_count_for_nothing_until_it_is_warm() -> None:
+def test_responses_of_a_cold_member_are_ignored_until_it_is_warm() -> None:
     analysis = CanaryAnalysis(0.01, 0.002)
     for cold in (True, False):
         for _ in range(60):
-            rest = look((30, 0, 7), (30, 0, 7))[1:]
+            rest = samples((30, 0, 7), (30, 0, 7))[1:]
             last = analysis.update(
                 [MemberSample("new", True, 30, 3, 30, baseline_slow_share=0.25, cold=cold), *rest]
             )
         assert last.finding is (Finding.GOOD if cold else Finding.BAD)
 
 
-def test_failures_that_meet_the_rest_at_the_same_time_are_no_version_s() -> None:
+def test_failures_that_affect_all_members_at_once_are_tolerated() -> None:
     analysis = CanaryAnalysis(0.01, 0.002)
     for second in range(120):
         burst = 3 if 60 <= second < 70 else 0
-        assert analysis.update(look((30, burst, 7), (30, burst, 7))).finding is Finding.GOOD
+        assert analysis.update(samples((30, burst, 7), (30, burst, 7))).finding is Finding.GOOD
 
 
-def test_what_it_has_seen_outlives_its_controller_and_a_second_look_begins_anew() -> None:
+def test_the_state_survives_a_restart_and_a_second_analysis_starts_anew() -> None:
     analysis = CanaryAnalysis(0.01, 0.002)
-    while analysis.update(look((30, 2, 7), (30, 0, 7))).finding is Finding.GOOD:
+    while analysis.update(samples((30, 2, 7), (30, 0, 7))).finding is Finding.GOOD:
         assert analysis.single_member
     other = CanaryAnalysis(0.01, 0.002)
     other.load_state(json.loads(json.dumps(analysis.to_state())))
@@ -79,11 +81,11 @@
                 MemberSample(f"new {i}", True, 30, 9 if i < bad else 0, 6, baseline_slow_share=0.25)
                 for i in range(3)
             ]
-            last = analysis.update(new + look((30, 0, 7), (30, 0, 7))[1:])
+            last = analysis.update(new + samples((30, 0, 7), (30, 0, 7))[1:])
         assert last.finding is finding
 
 
-def test_with_nothing_to_compare_with_it_says_so() -> None:
+def test_without_a_baseline_the_data_is_insufficient() -> None:
     analysis = CanaryAnalysis(0.01, 0.002)
     assert (
         analysis.update([MemberSample("new", True, 900, 900, 900, baseline_slow_share=0.25)]).finding
--- a/tests/test_release_look.py
+++ b/tests/test_release_look.py
@@ -1,4 +1,4 @@
-"""What a look makes of doors and lists, well or ill."""
+"""Snapshots of the farm from valid, incomplete and invalid responses."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
     "/admin/servers": (200, json.dumps({"s-1": SERVER | {"classes": {"build": BUILD}}})),
     "/catalog/members": (200, json.dumps(LIST)),
 }
-Answers = dict[str, tuple[int, str] | bytes]
+Responses = dict[str, tuple[int, str] | bytes]
 
 
-async def seen(answers: Answers) -> Snapshot:
-    """One look at a node and a list that answer so; bytes are written as they are, then the end."""
+async def snapshot_of(responses: Responses) -> Snapshot:
+    """Collect a snapshot of a node and a list service with these responses; bytes are sent unchanged."""
 
-    async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         path = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
-        answer = answers[path]
-        if isinstance(answer, tuple):
-            status, body = answer
-            answer = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body.encode())
-        writer.write(answer)
+        response = responses[path]
+        if isinstance(response, tuple):
+            status, body = response
+            response = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body.encode())
+        writer.write(response)
         writer.close()
 
-    server = await asyncio.start_server(take, "127.0.0.1", 0)
-    place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     async with server:
-        return await collect_snapshot(Farm("farm", place, "state", (NodeConfig("n0", (place,)),)), 3.0)
+        return await collect_snapshot(Farm("farm", address, "state", (NodeConfig("n0", (address,)),)), 3.0)
 
 
-def test_a_look_shows_what_doors_and_list_say() -> None:
-    snapshot = asyncio.run(seen(dict(GOOD)))
+def test_a_snapshot_holds_the_counters_and_the_list() -> None:
+    snapshot = asyncio.run(snapshot_of(dict(GOOD)))
     [process] = snapshot.nodes["n0"].processes
     held = process.servers["s-1"]
     assert process.ready and process.reports_servers and process.results == {"build": (7, 2, 1)}
@@ -82,8 +82,10 @@
         ),
     ],
 )
-def test_a_door_that_says_less_or_nonsense(changed: dict[str, Any], health: str, why: str) -> None:
-    snapshot = asyncio.run(seen(GOOD | changed))
+def test_incomplete_and_invalid_responses_of_an_admin_port(
+    changed: dict[str, Any], health: str, why: str
+) -> None:
+    snapshot = asyncio.run(snapshot_of(GOOD | changed))
     node = snapshot.nodes["n0"]
     assert [process.health for process in node.processes] == ([health] if health else [])
     assert why in node.error
@@ -92,16 +94,16 @@
 
 
 @pytest.mark.parametrize("answer", [(503, "late"), (200, "[]"), (200, '{"instances": [{}]}'), b""])
-def test_a_list_that_does_not_come_is_none_and_no_empty_one(answer: Any) -> None:
-    assert asyncio.run(seen(GOOD | {"/catalog/members": answer})).listed is None
+def test_a_failed_list_call_yields_none_and_not_an_empty_list(answer: Any) -> None:
+    assert asyncio.run(snapshot_of(GOOD | {"/catalog/members": answer})).listed is None
 
 
-def test_a_door_that_is_silent_is_given_its_time_and_no_more() -> None:
+def test_a_silent_admin_port_is_waited_for_no_longer_than_the_timeout() -> None:
     async def silent() -> tuple[int, str]:
         server = await asyncio.start_server(lambda *_: asyncio.sleep(5), "127.0.0.1", 0)
-        place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
-            return await http_client.call_text(place, "GET", "/admin/health", seconds=0.05)
+            return await http_client.call_text(address, "GET", "/admin/health", seconds=0.05)
         finally:
             server.close()
 
--- a/tests/test_release_plan.py
+++ b/tests/test_release_plan.py
@@ -1,4 +1,4 @@
-"""Plans of releases: all faults at once, waves that leave enough in service."""
+"""Plans of releases: all faults reported at once, and waves that leave enough capacity in service."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
     return error.value.faults
 
 
-def test_a_good_plan_is_read_and_makes_its_commands() -> None:
+def test_a_valid_plan_is_read_and_yields_its_command_lines() -> None:
     plan = parse_plan(GOOD)
     assert (plan.from_, plan.to, plan.room, plan.waves.canary) == ("v1", "v2", CapacityLimits(), 2)
     assert command_line(plan.commands.restart, "s-1", "v2") == ["restart-server", "--id=s-1", "v2"]
 
 
-def test_every_fault_is_told_at_once_with_its_key() -> None:
-    told = faults(
+def test_every_fault_is_reported_at_once_with_its_key() -> None:
+    reported = faults(
         """
         what = "lorries"
         from = "v1"
@@ -64,12 +64,12 @@
         out_at_once = "two"
         """
     )
-    keys = [line.partition(":")[0] for line in told]
+    keys = [line.partition(":")[0] for line in reported]
     assert sorted(keys) == [
         "colour", "commands.restart", "commands.restart[1]", "commands.restart[2]", "name",
         "room.out_at_once", "to", "waves.canary", "waves.shares", "waves.shares", "waves.zones", "what",
     ]  # fmt: skip
-    assert all("\n" not in line and line.partition(": ")[2] for line in told)
+    assert all("\n" not in line and line.partition(": ")[2] for line in reported)
 
 
 @pytest.mark.parametrize(
@@ -87,11 +87,11 @@
         (GOOD + "[watch]\nbake_s = nan", "watch.bake_s"),
     ],
 )
-def test_a_plan_that_can_t_be_carried_out_says_why(text: str, words: str) -> None:
+def test_an_invalid_plan_is_reported_with_its_reason(text: str, words: str) -> None:
     assert any(words in line for line in faults(text))
 
 
-def test_a_plan_that_can_t_be_read_says_why(tmp_path: Path) -> None:
+def test_an_unreadable_plan_is_reported_with_its_reason(tmp_path: Path) -> None:
     (tmp_path / "binary").write_bytes(b"\xff\xfe")
     for path, words in (
         (tmp_path / "none", "No such file"),
@@ -113,22 +113,20 @@
 @given(
     members, st.integers(1, 5), st.lists(st.floats(0.01, 0.99), max_size=4, unique=True), st.floats(0.1, 1)
 )
-def test_waves_take_everybody_once_zone_by_zone_and_leave_room(
+def test_waves_have_every_member_once_zone_by_zone_and_leave_enough_capacity(
     farm: list[Member], canary: int, shares: list[float], capacity: float
 ) -> None:
     plan = parse_plan(GOOD.replace('zones = ["b", "a"]', ""))
     wanted = Waves(canary=canary, shares=(*sorted(shares), 1.0))
     plan = Plan(plan.name, plan.what, plan.from_, plan.to, plan.commands, wanted, CapacityLimits(3, capacity))
-    made = split_into_waves(plan, farm)
-    assert sorted(m.id for wave in made for m in wave.members) == sorted(m.id for m in farm)
-    assert all({member.zone for member in wave.members} == {wave.zone} for wave in made)
-    zones = [wave.zone for wave in made]
-    assert len({*zones}) == 1 + sum(
-        a != b for a, b in zip(zones, zones[1:], strict=False)
-    )  # none is come back to
-    assert len(made[0].members) <= canary
+    planned = split_into_waves(plan, farm)
+    assert sorted(m.id for wave in planned for m in wave.members) == sorted(m.id for m in farm)
+    assert all({member.zone for member in wave.members} == {wave.zone} for wave in planned)
+    zones = [wave.zone for wave in planned]
+    assert len({*zones}) == 1 + sum(a != b for a, b in zip(zones, zones[1:], strict=False))  # no zone recurs
+    assert len(planned[0].members) <= canary
     whole = sum(member.size for member in farm)
-    for wave in made:
+    for wave in planned:
         most = sorted((member.size for member in wave.members), reverse=True)[
             : max_out_at_once(plan, wave, farm)
         ]
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -1,4 +1,4 @@
-"""Releases of a farm of processes, by a controller that is a process of its own, with faults between them."""
+"""Releases of a farm of real processes by a separate controller process, with faults between them."""
 
 from __future__ import annotations
 
@@ -64,14 +64,14 @@
 time_limit_s = {time_limit}
 ready_s = {ready}
 """
-# s for commands and for a restarted process: far more than either takes on a machine that is all taken. Only
-# where a case is about one that never comes back is it waited for less.
+# Time limits in s of commands and of a restarted process: far more than either takes on a fully loaded
+# machine. Shorter only where a case is about a process that never becomes ready.
 PATIENT, TIGHT = (30.0, 30.0), (2.0, 4.0)
-Acts = Callable[["Live"], Awaitable[None]]
-SIDE_BY_SIDE = 4  # plays at once: few enough for their clients to be in time
+Disturbance = Callable[["LiveRelease"], Awaitable[None]]
+SIDE_BY_SIDE = 4  # plays at once; with more, their clients fall behind schedule
 
 
-class Live:
+class LiveRelease:
     """A farm under load with a release under way."""
 
     def __init__(self, stage: Farm, case: Case) -> None:
@@ -84,15 +84,15 @@
         self.plan.write_text(text)
         self.farm = self.staff.farm_file()
 
-    async def control(self) -> ChildProcess:
+    async def start_controller(self) -> ChildProcess:
         """Start a controller."""
         self.controllers += 1
         log = self.stage.folder / f"controller-{self.controllers}.log"
         self.controller = await run_controller(self.stage, self.plan, self.farm, log)
         return self.controller
 
-    async def call(self, *words: str) -> tuple[int, str]:
-        """A command of staff."""
+    async def run_command(self, *words: str) -> tuple[int, str]:
+        """Run a release command as operators do; return its exit code and output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "flaxstep", "release", *words, "--farm", str(self.farm),
             cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
@@ -100,37 +100,37 @@
         out, _ = await process.communicate()
         return process.returncode or 0, out.decode()
 
-    async def kill_and_go_on(self) -> None:
+    async def kill_and_restart_controller(self) -> None:
         await self.controller.end()
         store = Store(Path(read_farm(self.farm).state))
         store.db.execute("UPDATE claim SET renewed = 0")  # as if its lease had run out
         store.close()
-        await self.control()
+        await self.start_controller()
 
-    def kept(self) -> StoredRelease | None:
+    def stored_release(self) -> StoredRelease | None:
         """The release as the state file has it."""
         store = Store(Path(read_farm(self.farm).state))
         kept = store.newest_release()
         store.close()
         return kept
 
-    async def stands(self, condition: Callable[[StoredRelease], bool]) -> None:
-        """Until the release stands so."""
+    async def wait_for_state(self, condition: Callable[[StoredRelease], bool]) -> None:
+        """Wait until the stored release satisfies the condition."""
 
         def stands() -> bool:
-            kept = self.kept()
+            kept = self.stored_release()
             return kept is not None and condition(kept)
 
-        await self.until(stands)
+        await self.wait_until(stands)
 
-    async def until(self, condition: Callable[[], bool], seconds: float = 40.0) -> None:
+    async def wait_until(self, condition: Callable[[], bool], seconds: float = 40.0) -> None:
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.02)
 
-    async def called(self, do: str, count: int = 1) -> None:
-        """Until commands have made so many calls of a kind."""
-        await self.until(lambda: sum(call[0] == do for call in self.staff.done) >= count)
+    async def wait_for_calls(self, do: str, count: int = 1) -> None:
+        """Wait until commands have made this many calls of a kind."""
+        await self.wait_until(lambda: sum(call[0] == do for call in self.staff.done) >= count)
 
     async def fault(self, name: str, *between: str) -> dict[str, object]:
         spec: dict[str, object] = {
@@ -141,8 +141,8 @@
 
 
 @dataclass
-class Done:
-    """What a release came to."""
+class ReleaseOutcome:
+    """The outcome of a release."""
 
     code: int
     release: Release
@@ -156,15 +156,15 @@
         return [m.id for m in self.members.values() if m.phase is not Phase.SERVING]
 
 
-async def carry(folder: Path, case: Case) -> Done:
-    """Play a release to its end under load; all is judged."""
-    found: list[Done] = []
+async def run_case(folder: Path, case: Case) -> ReleaseOutcome:
+    """Run a release to its end under load; the rules of the rig are checked."""
+    found: list[ReleaseOutcome] = []
 
     async def act(stage: Farm) -> bool:
-        live = Live(stage, case)
+        live = LiveRelease(stage, case)
         await live.staff.open()
         try:
-            await live.control()
+            await live.start_controller()
             if case.acts is not None:
                 await case.acts(live)
             async with asyncio.timeout(90):
@@ -172,10 +172,10 @@
         finally:
             live.staff.close()
         live.staff.note_calls()
-        kept = live.kept()
+        kept = live.stored_release()
         assert kept is not None
         versions = [stage.versions[server] for server in sorted(stage.versions)]
-        found.append(Done(code, kept.release, kept.members, versions, live.staff.done, None))  # type: ignore[arg-type]
+        found.append(ReleaseOutcome(code, kept.release, kept.members, versions, live.staff.done, None))  # type: ignore[arg-type]
         return True
 
     play = await rig(folder, act, seconds=120, nodes=3, load=case.load, extra=VERSIONS + case.extra)
@@ -184,87 +184,87 @@
     return done
 
 
-# What happens in the midst of a release.
+# Disturbances during a release.
 
 
-async def kill_after_cordon(live: Live) -> None:
+async def kill_after_cordon(live: LiveRelease) -> None:
     phases = (Phase.DRAINING, Phase.RESTARTING, Phase.VERIFYING)
-    await live.stands(lambda kept: any(m.phase in phases for m in kept.members.values()))
-    await live.kill_and_go_on()
+    await live.wait_for_state(lambda kept: any(m.phase in phases for m in kept.members.values()))
+    await live.kill_and_restart_controller()
 
 
-async def kill_in_command(live: Live) -> None:
-    await live.called("restart")
-    await live.kill_and_go_on()
+async def kill_in_command(live: LiveRelease) -> None:
+    await live.wait_for_calls("restart")
+    await live.kill_and_restart_controller()
 
 
-async def unreachable_node(live: Live) -> None:
-    await live.stands(lambda kept: kept.release.measured > 1.0)
+async def unreachable_node(live: LiveRelease) -> None:
+    await live.wait_for_state(lambda kept: kept.release.measured > 1.0)
     spec = await live.fault("refuse", "controller", "node:1")
-    await live.stands(lambda kept: "n1 does not respond" in kept.release.waiting)
+    await live.wait_for_state(lambda kept: "n1 does not respond" in kept.release.waiting)
     await live.stage.heal(1, spec)
 
 
-async def cut_zone(live: Live) -> None:
-    await live.called("restart")
+async def cut_zone(live: LiveRelease) -> None:
+    await live.wait_for_calls("restart")
     spec = await live.fault("silent", "controller", "zone:1")
-    await live.stands(lambda kept: "does not respond" in kept.release.waiting)
+    await live.wait_for_state(lambda kept: "does not respond" in kept.release.waiting)
     await live.stage.heal(1, spec)
 
 
-async def cut_zone_for_good(live: Live) -> None:
-    await live.called("restart")
+async def cut_zone_for_good(live: LiveRelease) -> None:
+    await live.wait_for_calls("restart")
     spec = await live.fault("silent", "controller", "zone:1")
-    await live.stands(lambda kept: kept.release.state is State.ABANDONED)
+    await live.wait_for_state(lambda kept: kept.release.state is State.ABANDONED)
     await live.stage.heal(1, spec)
 
 
-async def hang(live: Live) -> None:
+async def hang(live: LiveRelease) -> None:
     live.staff.hang = {("restart", f"s-{n:04d}", "hung") for n in range(6)}
 
 
-async def hang_on_the_way_back(live: Live) -> None:
+async def hang_on_the_way_back(live: LiveRelease) -> None:
     live.staff.hang = {("restart", f"s-{n:04d}", "v1") for n in range(6)}
 
 
-async def server_leaves(live: Live) -> None:
-    await live.called("restart")
+async def server_leaves(live: LiveRelease) -> None:
+    await live.wait_for_calls("restart")
     await live.stage.announce(5, "left", 0.0)
 
 
-async def staff_at_work(live: Live) -> None:
-    """A look beforehand, a pause in the midst, and on again: all by the command line."""
-    code, text = await live.call("check", str(live.plan))
+async def operator_commands(live: LiveRelease) -> None:
+    """Check, pause and resume the release by the command line."""
+    code, text = await live.run_command("check", str(live.plan))
     assert code == 0, text
-    await live.called("restart")
-    assert await live.call("pause") == (0, "pause: done\n")
-    await live.stands(lambda kept: all(m.phase is Phase.SERVING for m in kept.members.values()))
-    code, text = await live.call("status", "--json")
+    await live.wait_for_calls("restart")
+    assert await live.run_command("pause") == (0, "pause: done\n")
+    await live.wait_for_state(lambda kept: all(m.phase is Phase.SERVING for m in kept.members.values()))
+    code, text = await live.run_command("status", "--json")
     status = json.loads(text)
     assert code == 0 and status["state"] == "paused" and status["controller"]
     assert sorted({member["version"] for member in status["members"]}) == ["v1", "v2"]
-    code, text = await live.call("pause")
+    code, text = await live.run_command("pause")
     assert code == 2 and "the release is paused" in text
-    assert await live.call("resume") == (0, "resume: done\n")
+    assert await live.run_command("resume") == (0, "resume: done\n")
 
 
-async def second_controller(live: Live) -> None:
+async def second_controller(live: LiveRelease) -> None:
     first = live.controller
-    await live.called("restart")
-    second = await live.control()
+    await live.wait_for_calls("restart")
+    second = await live.start_controller()
     assert await second.process.wait() == 2
     assert "acts on this farm" in (live.stage.folder / "controller-2.log").read_text()
     live.controller = first
 
 
-async def stopped_and_replaced(live: Live) -> None:
+async def stopped_and_replaced(live: LiveRelease) -> None:
     """The first controller freezes for longer than its lease; the second takes over."""
     first = live.controller
-    await live.called("restart")
+    await live.wait_for_calls("restart")
     first.send(signal.SIGSTOP)
     await asyncio.sleep(LEASE_S + 0.5)
-    second = await live.control()
-    await live.until(lambda: "wave" in (live.stage.folder / "controller-2.log").read_text())
+    second = await live.start_controller()
+    await live.wait_until(lambda: "wave" in (live.stage.folder / "controller-2.log").read_text())
     first.send(signal.SIGCONT)
     assert await first.process.wait() == 2
     assert "has taken this farm over" in (live.stage.folder / "controller-1.log").read_text()
@@ -272,7 +272,7 @@
 
 
 def previous_node(folder: Path) -> str:
-    """How to start the node as it was before its last change."""
+    """The command that starts the node as it was before its last change."""
     places = ["flaxstep/proxy", "flaxstep/routing", "badgercart", "cottonhall"]  # the old layout last
 
     def git(*words: str) -> bytes:
@@ -289,28 +289,28 @@
     return f"cd {folder} && exec {sys.executable} -B -m {module}"
 
 
-def other_node(to_before: bool) -> Acts:
-    async def acts(live: Live) -> None:
+def other_node(to_before: bool) -> Disturbance:
+    async def acts(live: LiveRelease) -> None:
         before = previous_node(live.stage.folder / "before")
         live.staff.runs = {"v2": before if to_before else NODE, "v1": NODE if to_before else before}
         await live.stage.cordon(4)
-        await live.called("stop", 3)
+        await live.wait_for_calls("stop", 3)
         await live.stage.uncordon(4)
 
     return acts
 
 
-async def dead_node(live: Live) -> None:
+async def dead_node(live: LiveRelease) -> None:
     live.staff.runs = {"v2": "exec sleep 60"}
 
 
 @dataclass(frozen=True)
 class Case:
-    """A release and what it must come to. `why` stands in the release's reason."""
+    """A release and its expected outcome. `why` must be part of the reason that the release gives."""
 
     to: str
     state: State
-    acts: Acts | None = None
+    acts: Disturbance | None = None
     why: str = ""
     what: str = "servers"
     wait: float = 30.0
@@ -329,7 +329,7 @@
 """
 BACK = State.ROLLED_BACK
 CASES = {
-    "staff": Case("v2", State.DONE, staff_at_work),
+    "staff": Case("v2", State.DONE, operator_commands),
     "good": Case("v2", State.DONE, long=True),
     "slow only under load": Case("slow", BACK, why="worse than the rest", load=0.7, long=True),
     "one in seven fails": Case("failing", BACK, why="worse than the rest"),
@@ -360,18 +360,18 @@
 @pytest.fixture(scope="module")
 def played(
     tmp_path_factory: pytest.TempPathFactory, request: pytest.FixtureRequest
-) -> dict[str, Done | BaseException]:
-    """The cases that were asked for, a few at a time."""
+) -> dict[str, ReleaseOutcome | BaseException]:
+    """Run the selected cases, a few at a time."""
     folder = tmp_path_factory.mktemp("releases")
     asked = [item.callspec.params.get("name") for item in request.session.items if hasattr(item, "callspec")]
     cases = {name: case for name, case in CASES.items() if name in asked}
 
-    async def all_cases() -> list[Done | BaseException]:
-        room = asyncio.Semaphore(SIDE_BY_SIDE)
+    async def all_cases() -> list[ReleaseOutcome | BaseException]:
+        slots = asyncio.Semaphore(SIDE_BY_SIDE)
 
-        async def one(name: str, case: Case) -> Done:
-            async with room:
-                return await carry(folder / name.replace(" ", "-"), case)
+        async def one(name: str, case: Case) -> ReleaseOutcome:
+            async with slots:
+                return await run_case(folder / name.replace(" ", "-"), case)
 
         return await asyncio.gather(*(one(*item) for item in cases.items()), return_exceptions=True)
 
@@ -381,7 +381,9 @@
 @pytest.mark.parametrize(
     "name", [pytest.param(name, marks=pytest.mark.long if case.long else ()) for name, case in CASES.items()]
 )
-def test_a_release_under_load_ends_as_it_must(played: dict[str, Done | BaseException], name: str) -> None:
+def test_a_release_under_load_has_the_expected_outcome(
+    played: dict[str, ReleaseOutcome | BaseException], name: str
+) -> None:
     done, case = played[name], CASES[name]
     if isinstance(done, BaseException):
         raise done
@@ -393,6 +395,6 @@
     if case.what == "servers" and case.state is not State.ABANDONED:
         served = case.to if case.state is State.DONE else "v1"
         assert set(done.versions[:5]) == {served}
-        for number in range(5):  # what a command has done it is not asked for again
+        for number in range(5):  # a restart that took effect is not repeated
             calls = [call[2] for call in done.calls if call[:2] == ["restart", f"s-{number:04d}"]]
             assert len(calls) == len(set(calls)), calls
