--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -316,7 +316,7 @@
 @release.command("resume")
 @FARM
 def resume_command(farm_path: Path) -> None:
-    """Resume after a pause, after a halt, or after it gave up. After a halt the analysis starts anew."""
+    """Resume after a pause, after a halt, or after it gave up. After a halt the analysis starts again."""
     send_order(farm_path, "resume")
 
 
--- a/flaxstep/rollout/farm.py
+++ b/flaxstep/rollout/farm.py
@@ -20,7 +20,7 @@
 
 
 class NodeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A node. `doors` are its admin addresses: the first process uses one of them, its successor another."""
+    """A node. `doors` are its admin addresses: the first process uses the first, a successor another."""
 
     name: Text
     doors: Annotated[tuple[HostPort, ...], Meta(min_length=1, max_length=8)]
--- a/flaxstep/rollout/io/store.py
+++ b/flaxstep/rollout/io/store.py
@@ -4,7 +4,7 @@
 and its result after it. The controller holds the claim, a lease: a row with a fencing token that grows each
 time the claim is acquired. Every transaction of a controller checks its token, so a controller that was
 stopped and replaced cannot write any more, and ends. Times are of the boot clock, which runs during suspend
-and cannot be set; after a reboot all of them start anew.
+and cannot be set; after a reboot all of them start again from 0.
 """
 
 from __future__ import annotations
@@ -272,7 +272,7 @@
             stored_plan: Plan = msgspec.json.decode(plan, type=Plan)
         except msgspec.MsgspecError as error:
             raise StoreError(f"{self.path}: release {number}: {error}") from None
-        if boot != self.boot:  # after a reboot the boot clock starts anew
+        if boot != self.boot:  # after a reboot the boot clock starts again from 0
             for member in members:
                 member.since, member.asked = boot_clock_s(), -1e9
             release.waits_since = boot_clock_s()
