--- a/benchmarks/release_lab.py
+++ b/benchmarks/release_lab.py
@@ -19,8 +19,8 @@
 import msgspec
 import numpy as np
 
-from flaxstep.rollout.plan import Commands, Plan, Room, Watch, Waves
-from flaxstep.rollout.release import ENDED, State
+from flaxstep.rollout.plan import CapacityLimits, Commands, Plan, Watch, Waves
+from flaxstep.rollout.release import END_STATES, State
 from flaxstep.simulator.engine import RandomStreams
 from flaxstep.simulator.fault_config import VersionBehaviour
 from flaxstep.simulator.runner import CURRENT_CHECKOUT, find_policy
@@ -47,7 +47,7 @@
         to="v2",
         commands=Commands(restart=("restart", "{id}", "{version}")),
         waves=Waves(shares=(0.3, 1.0)),
-        room=Room(out_at_once=out_at_once, capacity=0.6),
+        room=CapacityLimits(out_at_once=out_at_once, capacity=0.6),
         watch=Watch(warm_s=24.0),
     )
 
@@ -119,8 +119,8 @@
 def summary(version: str, results: list[tuple[Outcome, float]], seconds: float) -> str:
     outcomes = [outcome for outcome, _ in results]
     done = sum(o.state is State.DONE for o in outcomes)
-    went_back = [o for o in outcomes if o.state is State.WENT_BACK]
-    gave_up = sum(o.state is State.GAVE_UP for o in outcomes)
+    went_back = [o for o in outcomes if o.state is State.ROLLED_BACK]
+    gave_up = sum(o.state is State.ABANDONED for o in outcomes)
     text = f"{version}: of {len(outcomes)} {done} done, {len(went_back)} went back, {gave_up} gave up"
     crashes, breaches = sum(o.crashes for o in outcomes), sum(o.breaches for o in outcomes)
     text += f"; cold servers fallen {crashes}, rules broken {breaches}"
@@ -136,7 +136,7 @@
         p95_harm = np.percentile(harm, 95)
         text += f"; halted with the canary alone {canary_alone}; ended after {ended_at:.0f} s"
         text += f"; harmed of what was asked till then {np.median(harm):.3%} (95 of 100 under {p95_harm:.3%})"
-    open_ = [number for number, o in enumerate(outcomes) if o.state not in ENDED]
+    open_ = [number for number, o in enumerate(outcomes) if o.state not in END_STATES]
     text += f"; not over when the day ended, seeds {open_}" if open_ else ""
     return f"{text}; {seconds:.0f} s"
 
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -13,9 +13,15 @@
 from flaxstep.proxy.metrics import ServerMetrics
 from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.plan import Member, Plan
-from flaxstep.rollout.release import Release, State, line_up
-from flaxstep.rollout.snapshot import Answers, Listed, NodeView, ServerCounters, Snapshot
-from flaxstep.rollout.snapshot import Process as ProcessView
+from flaxstep.rollout.release import Release, State, assign_waves
+from flaxstep.rollout.snapshot import (
+    ListedServer,
+    NodeView,
+    ProcessView,
+    ResponseCounters,
+    ServerCounters,
+    Snapshot,
+)
 from flaxstep.rollout.state_machine import ReleaseStateMachine
 from flaxstep.routing.interface import Result as AttemptResult
 from flaxstep.routing.interface import State as Lifecycle
@@ -52,7 +58,7 @@
         members = [
             Member(name, str(s.plan.zone), s.plan.cores * s.plan.speed) for name, s in self.servers.items()
         ]
-        self.release, self.standings = Release(), line_up(plan, members)
+        self.release, self.standings = Release(), assign_waves(plan, members)
         admin_addresses = {str(node): (str(node),) for node in range(len(simulation.processes))}
         self.state_machine = ReleaseStateMachine(plan, self.release, self.standings, admin_addresses)
         self.ended_at = float("inf")
@@ -92,14 +98,14 @@
 
     def tick(self) -> None:
         now = self.simulation.engine.now / 1000
-        was_rolling = self.release.state is State.ROLLING
+        was_rolling = self.release.state is State.IN_PROGRESS
         actions = self.state_machine.tick(now, self.take_snapshot(now))
-        if was_rolling and self.release.state is State.GOING_BACK:
+        if was_rolling and self.release.state is State.ROLLING_BACK:
             self.members_at_halt = sum(version == self.plan.to for version in self.running_versions.values())
         self.max_members_out = max(
-            self.max_members_out, sum(member.out for member in self.standings.values())
+            self.max_members_out, sum(member.out_of_service for member in self.standings.values())
         )
-        if self.state_machine.over:
+        if self.state_machine.finished:
             self.ended_at = now
             self.on_release_over()
             return
@@ -112,7 +118,7 @@
         entries = self.simulation.discovery.entries.values()
         started = {self.simulation.servers_by_id[e.id].plan.number: round(e.started) for e in entries}
         listed = {
-            str(number): Listed(str(number), "", str(s.plan.zone), 1.0, "active", started[number])
+            str(number): ListedServer(str(number), "", str(s.plan.zone), 1.0, "active", started[number])
             for s in self.simulation.servers
             if (number := s.plan.number) in started
         }
@@ -136,10 +142,10 @@
             classes = {}
             for cls, name in enumerate(self.classes):
                 if server_metrics is None:
-                    classes[name] = Answers()
+                    classes[name] = ResponseCounters()
                     continue
                 duration_counts = Counter({b: n for b, n in enumerate(server_metrics.took[cls]) if n})
-                classes[name] = Answers(
+                classes[name] = ResponseCounters(
                     duration_counts.total(),
                     server_metrics.failed[cls],
                     server_metrics.unstarted[cls],
@@ -156,17 +162,17 @@
 
     def perform_action(self, action: Action) -> None:
         engine, server = self.simulation.engine, self.servers[action.member]
-        if action.do in (ActionKind.CORDON, ActionKind.UNCORDON):
+        if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
             unreachable = [
                 node for node, node_processes in enumerate(self.simulation.processes) if not node_processes
             ]
             for node_processes in self.simulation.processes:
                 for process in node_processes:
-                    call = process.cordon if action.do is ActionKind.CORDON else process.uncordon
+                    call = process.cordon if action.kind is ActionKind.CORDON else process.uncordon
                     engine.call_after(ADMIN_CALL_MS * self.uniform(), call, server.id)
             error = f"{unreachable[0]}: connection refused" if unreachable else ""
             engine.call_after(ADMIN_CALL_MS, self.report_result, action, ActionResult(not unreachable, error))
-        elif action.do is ActionKind.RUN:
+        elif action.kind is ActionKind.RESTART:
             down = 1000 * self.uniform.between(0.5, 3.0)
             server.stop_process()
             server.state = Lifecycle.GONE
@@ -176,7 +182,7 @@
             is_up = server.up
             output = (
                 self.running_versions[action.member]
-                if action.do is ActionKind.ASK
+                if action.kind is ActionKind.VERSION
                 else ""
                 if is_up
                 else "connection refused"
@@ -217,4 +223,4 @@
 
     def report_result(self, action: Action, result: ActionResult) -> None:
         self.standings[action.member].open = 0
-        self.state_machine.ended(action, result, self.simulation.engine.now / 1000)
+        self.state_machine.on_action_ended(action, result, self.simulation.engine.now / 1000)
--- a/tests/test_release_lab.py
+++ b/tests/test_release_lab.py
@@ -14,5 +14,5 @@
 
 def test_a_version_with_errors_is_rolled_back_after_the_canary() -> None:
     bad = play(1, "2% errors")
-    assert bad.state is State.WENT_BACK and bad.members_at_halt == 1 and bad.released == 0
+    assert bad.state is State.ROLLED_BACK and bad.members_at_halt == 1 and bad.released == 0
     assert play(1, "2% errors") == bad  # the same seed gives the same run
