--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -1,4 +1,4 @@
-"""Servers that operators take out and call back: the module's part, the node's, and two processes'."""
+"""Cordoning and uncordoning servers: in the routing policy, in a node, and in two processes of a node."""
 
 from __future__ import annotations
 
@@ -15,105 +15,106 @@
 from flaxstep.proxy.shared_state import OperatorState, SharedState
 from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
 from tests.net import WAIT, Peer, Stand, request, running
-from tests.support import START, Stage, server, settings
-from tests.test_admin import DOOR, until
+from tests.support import START, PolicyHarness, make_server_entry, make_settings
+from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_metrics import stats
 from tests.test_node import run
 
 
-def targets(stage: Stage, requests: int, step: float = 5.0) -> list[int]:
-    """Where so many requests go; each is served."""
+def targets(harness: PolicyHarness, requests: int, step: float = 5.0) -> list[int]:
+    """The servers that this many requests are sent to, each answered before the next step."""
     found = []
     for _ in range(requests):
-        stage.request()
-        for number, attempt in list(stage.open):
-            found.append(stage.attempts[number][attempt][1].id)
-            stage.outcome(number, attempt, Result.OK)
-        stage.advance(step)
+        harness.send_request()
+        for number, attempt in list(harness.open_attempts):
+            found.append(harness.attempts[number][attempt][1].id)
+            harness.report_outcome(number, attempt, Result.OK)
+        harness.advance_time(step)
     return found
 
 
-def test_a_server_that_is_out_gets_nothing_whatever_the_lists_say() -> None:
-    stage = Stage(settings())
-    stage.give(Cordon(3))
+def test_a_cordoned_server_gets_no_request_whatever_the_lists_say() -> None:
+    harness = PolicyHarness(make_settings())
+    harness.dispatch_event(Cordon(3))
     changes: list[Any] = [
         lambda: None,
-        lambda: stage.list([server(3)]),
-        lambda: stage.list([server(3, State.DRAINING)]),
-        lambda: stage.list([server(3)]),
-        lambda: stage.list([server(i) for i in range(8) if i != 3], ListKind.FULL),
-        lambda: stage.list([server(3, started=START - 100.0)]),
-        lambda: stage.list([server(i) for i in range(8)], ListKind.FULL),
-        lambda: stage.give(Cordon(3)),
+        lambda: harness.send_list([make_server_entry(3)]),
+        lambda: harness.send_list([make_server_entry(3, State.DRAINING)]),
+        lambda: harness.send_list([make_server_entry(3)]),
+        lambda: harness.send_list([make_server_entry(i) for i in range(8) if i != 3], ListKind.FULL),
+        lambda: harness.send_list([make_server_entry(3, started=START - 100.0)]),
+        lambda: harness.send_list([make_server_entry(i) for i in range(8)], ListKind.FULL),
+        lambda: harness.dispatch_event(Cordon(3)),
     ]
     for change in changes:
         change()
-        got = targets(stage, 60)
+        got = targets(harness, 60)
         assert len(got) == 60 and 3 not in got
-        assert stage.policy.avoided(stage.now) == {3}
+        assert harness.policy.find_avoided_servers(harness.now) == {3}
 
 
-def test_a_retry_or_a_repeat_in_a_rack_passes_over_a_server_that_is_out() -> None:
+def test_a_retry_or_a_repeat_in_a_rack_skips_a_cordoned_server() -> None:
     for out in range(8):
-        stage = Stage(settings(), servers=8)
-        number = stage.request()
-        first = stage.attempts[number][0][1].id
+        harness = PolicyHarness(make_settings(), servers=8)
+        number = harness.send_request()
+        first = harness.attempts[number][0][1].id
         if first == out:
             continue
-        stage.give(Cordon(out))
+        harness.dispatch_event(Cordon(out))
         for attempt in range(3):
-            stage.outcome(number, attempt, Result.FULL)
-        assert out not in [entry.id for _, entry in stage.attempts[number]]
-
-
-def test_one_call_back_brings_a_server_back_soon_and_cold() -> None:
-    stage = Stage(settings(cold_from=0.2, ramp_time=10_000.0))
-    targets(stage, 400)
-    usual = targets(stage, 400).count(6)
-    stage.give(Cordon(6))
-    stage.give(Cordon(6))
-    assert 6 not in targets(stage, 100)
-    stage.give(Uncordon(6, stage.now))
-    got = targets(stage, 400)
+            harness.report_outcome(number, attempt, Result.FULL)
+        assert out not in [entry.id for _, entry in harness.attempts[number]]
+
+
+def test_an_uncordoned_server_gets_requests_soon_and_starts_cold() -> None:
+    harness = PolicyHarness(make_settings(cold_from=0.2, ramp_time=10_000.0))
+    targets(harness, 400)
+    usual = targets(harness, 400).count(6)
+    harness.dispatch_event(Cordon(6))
+    harness.dispatch_event(Cordon(6))
+    assert 6 not in targets(harness, 100)
+    harness.dispatch_event(Uncordon(6, harness.now))
+    got = targets(harness, 400)
     assert got[0] == 6  # soon
     assert 1 < got.count(6) < usual / 2  # cold, though the list says that it started long ago
-    stage.advance(10_000.0)
-    assert targets(stage, 400).count(6) > 0.75 * usual  # warm again
+    harness.advance_time(10_000.0)
+    assert targets(harness, 400).count(6) > 0.75 * usual  # warm again
 
 
-def test_a_server_that_is_called_back_is_tried_also_where_chance_would_pass_it_over() -> None:
-    stage = Stage(settings(), servers=8)  # another zone than ours, with idle servers in our own
-    stage.give(Cordon(7))
-    targets(stage, 50)
-    stage.give(Uncordon(7, stage.now))
-    assert targets(stage, 1) == [7]
+def test_an_uncordoned_server_is_tried_even_if_random_choice_would_skip_it() -> None:
+    # The cordoned server is in another zone, and the node's own zone has idle servers.
+    harness = PolicyHarness(make_settings(), servers=8)
+    harness.dispatch_event(Cordon(7))
+    targets(harness, 50)
+    harness.dispatch_event(Uncordon(7, harness.now))
+    assert targets(harness, 1) == [7]
 
 
-def test_what_is_unknown_to_the_list_can_be_out_before_it_comes() -> None:
-    stage = Stage(settings(), servers=4)
-    stage.give(Cordon(9))
-    stage.list([server(9)])
-    assert 9 not in targets(stage, 60)
-    stage.give(Uncordon(9, stage.now))
-    assert 9 in targets(stage, 60)
+def test_a_server_can_be_cordoned_before_it_is_listed() -> None:
+    harness = PolicyHarness(make_settings(), servers=4)
+    harness.dispatch_event(Cordon(9))
+    harness.send_list([make_server_entry(9)])
+    assert 9 not in targets(harness, 60)
+    harness.dispatch_event(Uncordon(9, harness.now))
+    assert 9 in targets(harness, 60)
 
 
-def test_calls_out_and_back_at_the_door() -> None:
+def test_cordon_and_uncordon_calls_at_the_admin_port() -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=DOOR) as stand:
+        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             for _ in range(8):
                 assert (await client.ask(request()))[0] == 200
             for body, status in ((b"s-9", 404), (b"", 400), (b"\xff", 400), (b"x" * 300, 413)):
                 for call in ("cordon", "uncordon"):
                     assert (await stand.call("POST", call, body))[0] == status
-            for body in (b"s-1", b"s-1\n"):  # twice out
+            for body in (b"s-1", b"s-1\n"):  # cordoned twice
                 assert (await stand.call("POST", "cordon", body))[0] == 200
-            await until(lambda: peers[0].ended.qsize() == peers[0].connections)  # idle ones are closed
+            await wait_until(lambda: peers[0].ended.qsize() == peers[0].connections)  # idle ones are closed
             assert (await stats(stand))["ejected"] == 1
             before = peers[0].requests.qsize()
-            stand.agent.push(2, [peers[0].entry("s-1", "left")])  # restarts: missing, then back
+            stand.agent.push(2, [peers[0].entry("s-1", "left")])  # a restart: missing, then listed again
             stand.agent.push(3, [peers[0].entry("s-1")])
             while (await stand.event(ServerList)).version != 3:
                 pass
@@ -123,7 +124,7 @@
             stand.agent.push(4, [peers[0].entry("s-1", "left")])
             while (await stand.event(ServerList)).version != 4:
                 pass
-            assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200  # though the list lacks it
+            assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200  # although it is not listed
             stand.agent.push(5, [peers[0].entry("s-1")])
             while (await stand.event(ServerList)).version != 5:
                 pass
@@ -131,24 +132,24 @@
                 while peers[0].requests.qsize() == before:
                     assert (await client.ask(request()))[0] == 200
             assert (await stats(stand))["ejected"] == 0
-            assert stand.node.policy.returned.keys() == {stable_id(b"s-1")}
+            assert stand.node.policy.uncordoned_at.keys() == {stable_id(b"s-1")}
 
     run(test())
 
 
-def test_a_dial_that_is_on_when_its_server_is_taken_out_ends_and_the_request_goes_elsewhere() -> None:
+def test_connecting_to_a_server_that_is_cordoned_ends_and_the_request_goes_elsewhere() -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, attempts=3, admin=DOOR) as stand:
-            send, out = stand.node.send, []
+        async with running(*peers, attempts=3, admin=ADMIN_ADDRESS) as stand:
+            send, out = stand.node.send_attempt, []
 
-            def taken_out_at_once(action: Send) -> None:
+            def cordoned_at_once(action: Send) -> None:
                 send(action)
                 if not out:
                     out.append("s-1" if action.server == stable_id(b"s-1") else "s-2")
                     asyncio.get_running_loop().call_soon(stand.node.cordon, out[0].encode())
 
-            stand.node.perform[Send] = taken_out_at_once
+            stand.node.action_handlers[Send] = cordoned_at_once
             assert (await (await stand.client()).ask(request("pay")))[0] == 200
             assert (await stand.outcome()).result == Result.UNREACHABLE
             assert peers[0 if out == ["s-1"] else 1].requests.empty()
@@ -156,54 +157,56 @@
     run(test())
 
 
-def test_a_call_to_either_process_holds_in_both(tmp_path: Path) -> None:
+def test_a_call_to_either_process_applies_to_both(tmp_path: Path) -> None:
     async def test() -> None:
         peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=DOOR, shared=tmp_path) as old:
+        async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as old:
             assert (await old.call("POST", "cordon", b"s-1"))[0] == 200
-            async with running(*peers, admin=DOOR, shared=tmp_path) as new:
+            async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as new:
                 ids = {stable_id(b"s-1"), stable_id(b"s-2")}
                 assert new.node.policy.cordoned == {stable_id(b"s-1")}  # from the start
                 assert (await new.call("POST", "cordon", b"s-2"))[0] == 200
-                await until(lambda: old.node.policy.cordoned == ids)
+                await wait_until(lambda: old.node.policy.cordoned == ids)
                 assert (await old.call("POST", "uncordon", b"s-1"))[0] == 200
-                await until(lambda: new.node.policy.cordoned == {stable_id(b"s-2")})
-                at = old.node.policy.returned[stable_id(b"s-1")]
-                assert new.node.policy.returned[stable_id(b"s-1")] == pytest.approx(at, abs=50.0)
+                await wait_until(lambda: new.node.policy.cordoned == {stable_id(b"s-2")})
+                at = old.node.policy.uncordoned_at[stable_id(b"s-1")]
+                assert new.node.policy.uncordoned_at[stable_id(b"s-1")] == pytest.approx(at, abs=50.0)
                 client = await new.client()
                 assert (await client.ask(request()))[0] == 200
                 assert (peers[0].requests.qsize(), peers[1].requests.qsize()) == (1, 0)
-            async with running(*peers, admin=DOOR, shared=tmp_path) as third:
+            async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as third:
                 assert third.node.policy.cordoned == {stable_id(b"s-2")}
-                assert third.node.policy.returned.keys() == {stable_id(b"s-1")}  # cold for it too
+                assert third.node.policy.uncordoned_at.keys() == {
+                    stable_id(b"s-1")
+                }  # cold in this process too
 
     run(test())
 
 
-SPOILT = [b"", b"[]", b"{", b'{"cordoned": 7, "returned": {}}', b'{"cordoned": [1], "returned": {}}',
+MALFORMED_FILES = [b"", b"[]", b"{", b'{"cordoned": 7, "returned": {}}', b'{"cordoned": [1], "returned": {}}',
           b'{"cordoned": [], "returned": {"a": NaN}}', b'{"cordoned": []}', b"\xff", b"[" * 9999]  # fmt: skip
 
 
-@pytest.mark.parametrize("data", SPOILT, ids=range(len(SPOILT)))
-def test_a_spoilt_file_is_logged_and_the_next_call_writes_a_good_one(
+@pytest.mark.parametrize("data", MALFORMED_FILES, ids=range(len(MALFORMED_FILES)))
+def test_a_malformed_file_is_logged_and_the_next_call_replaces_it(
     tmp_path: Path, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
-    first.change(lambda shared: shared.without("s-1"))
-    first.file.write_bytes(data)
+    first.apply_change(lambda state: state.with_cordoned("s-1"))
+    first.state_file.write_bytes(data)
     second = SharedState(tmp_path, "n0", lambda before, now: None)
     second.start()
-    assert second.shared == OperatorState() and str(second.file) in caplog.text
-    first.change(lambda shared: shared.without("s-2"))
-    second.look()
-    assert second.shared.cordoned == {"s-1", "s-2"}
+    assert second.state == OperatorState() and str(second.state_file) in caplog.text
+    first.apply_change(lambda state: state.with_cordoned("s-2"))
+    second.refresh()
+    assert second.state.cordoned == {"s-1", "s-2"}
     first.close()
     second.close()
 
 
-def test_a_call_that_cannot_be_kept_is_a_no_and_the_server_is_out_all_the_same(tmp_path: Path) -> None:
-    """The rule runs from 1 s after the call, and once the file can be written a successor knows it too."""
+def test_a_cordon_that_cannot_be_saved_returns_503_and_applies_nevertheless(tmp_path: Path) -> None:
+    """It must apply 1 s after the call, and a successor knows it once the file can be written."""
 
     async def test(stand: Stand) -> None:
         for path in tmp_path.iterdir():
@@ -216,29 +219,29 @@
         tmp_path.mkdir()
         successor = SharedState(tmp_path, "n0", lambda before, now: None)
         async with asyncio.timeout(WAIT):
-            while not successor.shared.cordoned:
+            while not successor.state.cordoned:
                 await asyncio.sleep(0.02)
-                successor.look()
+                successor.refresh()
         successor.close()
         assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200
         assert not stand.node.policy.cordoned
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=DOOR, shared=tmp_path) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
             await test(stand)
 
     run(whole())
 
 
-@pytest.mark.parametrize("call", ["file_stamp", "read_limited", "held"])
+@pytest.mark.parametrize("call", ["file_stamp", "read_limited", "is_locked"])
 @pytest.mark.parametrize("code", [errno.EIO, errno.EMFILE, errno.ENFILE])
-def test_what_could_not_be_read_once_is_read_at_the_next_look(
+def test_what_could_not_be_read_is_read_at_the_next_refresh(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, code: int
 ) -> None:
-    """One failed read is no proof that nobody is out, and none that no other process runs."""
+    """A failed read does not prove that no server is cordoned, or that no other process is running."""
     first = SharedState(tmp_path, "n0", lambda before, now: None)
     first.start()
-    first.change(lambda shared: shared.without("s-1"))
+    first.apply_change(lambda state: state.with_cordoned("s-1"))
 
     def fail(path: Path) -> None:
         raise OSError(code, os.strerror(code))
@@ -247,21 +250,21 @@
     with monkeypatch.context() as failing:
         failing.setattr(shared_state, call, fail)
         second.start()
-        assert not second.looked
-    second.look()
-    assert second.looked and second.others and second.shared.cordoned == {"s-1"}
-    first.look()
-    assert first.others  # and it is seen, though it could not make itself seen at its start
+        assert not second.fully_read
+    second.refresh()
+    assert second.fully_read and second.others_running and second.state.cordoned == {"s-1"}
+    first.refresh()
+    assert first.others_running  # announced at its second attempt
     first.close()
     second.close()
 
 
-def test_a_node_takes_no_client_before_it_knows_who_is_out(
+def test_a_node_accepts_no_client_before_it_has_read_the_cordons(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     before = SharedState(tmp_path, "n0", lambda before, now: None)
     before.start()
-    before.change(lambda shared: shared.without("s-1"))
+    before.apply_change(lambda state: state.with_cordoned("s-1"))
     before.close()
     read, left = shared_state.read_limited, [3]
 
@@ -274,97 +277,99 @@
     monkeypatch.setattr(shared_state, "read_limited", fail)
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=DOOR, shared=tmp_path) as stand:
+        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
             assert not left[0]
             assert stand.node.policy.cordoned == {stable_id(b"s-1")}
 
     run(whole())
 
 
-def test_a_lock_that_hangs_is_given_up(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shared_state, "LOCK_TIME", 0.02)
+def test_waiting_for_a_lock_that_is_not_released_times_out(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(shared_state, "LOCK_TIMEOUT_S", 0.02)
     first, second = (SharedState(tmp_path, "n0", lambda before, now: None) for _ in range(2))
-    with first.locked(), pytest.raises(TimeoutError):
-        second.change(lambda shared: shared.without("s-1"))
-    assert not second.shared.cordoned
-    second.change(lambda shared: shared.without("s-1"))
-    assert second.shared.cordoned == {"s-1"}
+    with first.exclusive_lock(), pytest.raises(TimeoutError):
+        second.apply_change(lambda state: state.with_cordoned("s-1"))
+    assert not second.state.cordoned
+    second.apply_change(lambda state: state.with_cordoned("s-1"))
+    assert second.state.cordoned == {"s-1"}
 
 
-def test_processes_see_each_other_and_nodes_of_other_names_do_not(tmp_path: Path) -> None:
+def test_processes_detect_each_other_but_not_those_of_other_nodes(tmp_path: Path) -> None:
     first, second, other = (SharedState(tmp_path, name, lambda b, n: None) for name in ("n0", "n0", "n1"))
     first.start()
     other.start()
-    assert not first.others and not other.others
+    assert not first.others_running and not other.others_running
     second.start()
-    first.look()
-    assert first.others and second.others
-    first.change(lambda shared: shared.without("s-1"))
-    other.look()
-    assert not other.shared.cordoned and not other.others
+    first.refresh()
+    assert first.others_running and second.others_running
+    first.apply_change(lambda state: state.with_cordoned("s-1"))
+    other.refresh()
+    assert not other.state.cordoned and not other.others_running
     second.close()
-    first.look()
-    assert not first.others
+    first.refresh()
+    assert not first.others_running
     first.close()
     other.close()
 
 
 def cold_rate(tip: float, elapsed: float) -> float:
-    """A cold server's share of all requests when it answers in so many ms, and the others in 40."""
-    stage = Stage(settings(cold_from=0.2, ramp_time=60_000.0, tip_multiple=tip), servers=4)
-    stage.give(Cordon(0))
+    """The share of requests that a cold server gets if it responds in `elapsed` ms, and others in 40 ms."""
+    harness = PolicyHarness(make_settings(cold_from=0.2, ramp_time=60_000.0, tip_multiple=tip), servers=4)
+    harness.dispatch_event(Cordon(0))
     sent = {server_id: 0 for server_id in range(4)}
     for step in range(1600):
         if step == 800:
-            stage.give(Uncordon(0, stage.now))
-        stage.request()
-        for number, attempt in list(stage.open):
-            at, entry = stage.attempts[number][attempt]
+            harness.dispatch_event(Uncordon(0, harness.now))
+        harness.send_request()
+        for number, attempt in list(harness.open_attempts):
+            at, entry = harness.attempts[number][attempt]
             takes = elapsed if entry.id == 0 else 40.0
-            if stage.now - at >= takes:
-                stage.outcome(number, attempt, Result.OK, takes)
+            if harness.now - at >= takes:
+                harness.report_outcome(number, attempt, Result.OK, takes)
                 sent[entry.id] += step >= 800
-        stage.advance(10.0)
+        harness.advance_time(10.0)
     return sent[0] / sum(sent.values())
 
 
-def test_a_cold_server_that_answers_quickly_gets_more_but_less_than_tips_it() -> None:
+def test_a_cold_server_that_responds_quickly_gets_more_but_not_enough_to_overload_it() -> None:
     sure, quick, slow = cold_rate(1.0, 20.0), cold_rate(2.5, 20.0), cold_rate(2.5, 80.0)
-    assert quick > 1.3 * sure  # its answers show that it can more than its age is sure of
-    assert slow < 1.1 * sure  # and where they do not, it gets no more
-    assert quick < 2.5 * 0.3 / 3  # of what a warm one gets, with 0.3 of its strength after 8 s
+    assert quick > 1.3 * sure  # its responses show more capacity than its age guarantees
+    assert slow < 1.1 * sure  # slow responses do not
+    assert quick < 2.5 * 0.3 / 3  # of a warm server's share, with 0.3 of its capacity after 8 s
 
 
-def test_of_many_nodes_few_send_to_a_server_at_once_when_it_comes_back() -> None:
+def test_few_of_many_nodes_send_to_a_server_at_once_when_it_is_uncordoned() -> None:
     first = 0
     for seed in range(200):
-        stage = Stage(settings(group_size=200), seed=seed, servers=4)
-        stage.give(Cordon(0))
-        stage.give(Uncordon(0, stage.now))
-        first += targets(stage, 1) == [0]
+        harness = PolicyHarness(make_settings(group_size=200), seed=seed, servers=4)
+        harness.dispatch_event(Cordon(0))
+        harness.dispatch_event(Uncordon(0, harness.now))
+        first += targets(harness, 1) == [0]
     assert first < 20
 
 
-def test_a_cold_server_gets_the_next_when_it_has_answered_the_last() -> None:
-    """What waits for answers can't tip it; of many nodes, or after a failure, its age alone counts."""
+def test_a_cold_server_gets_its_next_request_after_the_last_response() -> None:
+    """Waiting for responses can't overload it; with many nodes, or after a failure, only its age counts."""
     got = {}
     for nodes, result in ((2, Result.OK), (400, Result.OK), (2, Result.RESET)):
-        stage = Stage(
-            settings(group_size=nodes, tip_multiple=2.5, tip_time=2000.0, ramp_time=60_000.0), servers=4
+        harness = PolicyHarness(
+            make_settings(group_size=nodes, tip_multiple=2.5, tip_time=2000.0, ramp_time=60_000.0), servers=4
         )
-        stage.give(Cordon(0))
-        targets(stage, 200)
-        stage.give(Uncordon(0, stage.now))
+        harness.dispatch_event(Cordon(0))
+        targets(harness, 200)
+        harness.dispatch_event(Uncordon(0, harness.now))
         for other in range(1, 4):
-            stage.give(Cordon(other))
+            harness.dispatch_event(Cordon(other))
         sent = 0
-        for _ in range(300):  # nobody else is there: it gets what it may
-            for number, attempt in list(stage.open):
-                stage.outcome(number, attempt, result)
-            assert len(stage.open) <= 2
-            stage.request()
-            sent += len(stage.open)
-            stage.advance(5.0)
+        for _ in range(300):  # no other server is left, so it gets all that it may
+            for number, attempt in list(harness.open_attempts):
+                harness.report_outcome(number, attempt, result)
+            assert len(harness.open_attempts) <= 2
+            harness.send_request()
+            sent += len(harness.open_attempts)
+            harness.advance_time(5.0)
         got[nodes, result] = sent
     assert got[2, Result.OK] > 250
     assert max(got[400, Result.OK], got[2, Result.RESET]) < 30
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures at the operators' door against what clients and servers saw."""
+"""The metrics at the admin port, compared with what clients and servers saw."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from flaxstep.routing.interface import ListKind, Result, ServerList
 from flaxstep.routing.policy import Policy
 from tests.net import CLASSES, OK, Peer, Stand, answer, answer_ok, hang_up, request, running, stay_silent
-from tests.support import server, settings
-from tests.test_admin import DOOR, until
+from tests.support import make_server_entry, make_settings
+from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_node import run
 
 
@@ -28,9 +28,9 @@
     return found
 
 
-def test_every_figure_of_the_page_is_there_from_the_start() -> None:
+def test_every_documented_metric_is_reported_from_the_start() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), await Peer().start(), admin=DOOR) as stand:
+        async with running(await Peer().start(), await Peer().start(), admin=ADMIN_ADDRESS) as stand:
             zero = {f"results.{c}.{o}": 0 for c in CLASSES for o in ("succeeded", "declined", "aborted")}
             gauges = {"outstanding": 0, "discovered": 2, "ejected": 0}
             assert await stats(stand) == zero | gauges | {"forwards": 0}
@@ -38,11 +38,11 @@
     run(test())
 
 
-def test_the_lines_are_in_statsd_form() -> None:
-    figures = Metrics(["find"])
+def test_lines_have_the_statsd_format() -> None:
+    metrics = Metrics(["find"])
     for status in (200, 503, 429, 502, 500):
-        figures.ended(0, status)
-    assert figures.lines({"outstanding": 14}).splitlines() == [
+        metrics.record_outcome(0, status)
+    assert metrics.to_statsd({"outstanding": 14}).splitlines() == [
         "edge_router.results.find.succeeded:1|c",
         "edge_router.results.find.declined:2|c",
         "edge_router.results.find.aborted:2|c",
@@ -51,12 +51,12 @@
     ]
 
 
-def test_outcomes_count_once_for_their_class_and_attempts_each() -> None:
+def test_an_outcome_is_counted_once_for_its_class_and_each_attempt_as_a_forward() -> None:
     full = answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
     async def test() -> None:
         peers = [await Peer().start(), await Peer(full).start()]
-        async with running(*peers, attempts=3, admin=DOOR) as stand:
+        async with running(*peers, attempts=3, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             for _ in range(8):
                 assert (await client.ask(request("book")))[0] == 200
@@ -66,7 +66,7 @@
             for peer in peers:
                 peer.script = full
             assert (await client.ask(request("find")))[0] == 503
-            assert (await client.ask(request(Request_ID="twice")))[0] == 400  # improper: counts nowhere
+            assert (await client.ask(request(Request_ID="twice")))[0] == 400  # malformed: not counted
             found = await stats(stand)
             assert found["results.book.succeeded"] == 8
             assert found["results.pay.aborted"] == 1
@@ -77,7 +77,7 @@
     run(test())
 
 
-def test_what_is_held_or_waits_its_turn_is_outstanding_until_it_ends() -> None:
+def test_pending_and_pipelined_requests_are_outstanding_until_they_end() -> None:
     release = asyncio.Event()
 
     async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -86,14 +86,14 @@
 
     async def test() -> None:
         peer = await Peer(held_back).start()
-        async with running(peer, admin=DOOR) as stand:
+        async with running(peer, admin=ADMIN_ADDRESS) as stand:
             client, leaver = await stand.client(), await stand.client()
             client.writer.write(request() * 3)
             leaver.writer.write(request())
-            await until(lambda: len(stand.node.held) == 2)
+            await wait_until(lambda: len(stand.node.pending_requests) == 2)
             assert (await stats(stand))["outstanding"] == 4
             leaver.writer.close()
-            await until(lambda: len(stand.node.held) == 1)
+            await wait_until(lambda: len(stand.node.pending_requests) == 1)
             assert (await stats(stand))["outstanding"] == 3
             release.set()
             for _ in range(3):
@@ -104,10 +104,10 @@
     run(test())
 
 
-def test_servers_are_discovered_while_listed() -> None:
+def test_servers_count_as_discovered_while_listed() -> None:
     async def test() -> None:
         peers = [await Peer().start() for _ in range(3)]
-        async with running(*peers, admin=DOOR) as stand:
+        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
             stand.agent.push(2, [peers[0].entry("s-1", "leaving"), peers[1].entry("s-2", "left")])
             while (await stand.event(ServerList)).version != 2:
                 pass
@@ -116,14 +116,14 @@
     run(test())
 
 
-def test_a_server_that_rests_for_every_class_is_avoided_and_one_that_serves_some_is_not() -> None:
-    policy = Policy(settings(), 1)
-    policy.handle(0.0, ServerList(ListKind.CACHED, 1, [server(i) for i in range(8)]))
-    for cls, health in enumerate(policy.servers[3].health):
-        assert not policy.avoided(10.0)
-        health.rest_until = 100.0 + cls
-    assert policy.avoided(10.0) == {3}
-    assert not policy.avoided(100.0)
+def test_a_server_is_avoided_only_while_it_is_ejected_for_every_class() -> None:
+    policy = Policy(make_settings(), 1)
+    policy.handle(0.0, ServerList(ListKind.CACHED, 1, [make_server_entry(i) for i in range(8)]))
+    for cls, health in enumerate(policy.endpoints[3].health):
+        assert not policy.find_avoided_servers(10.0)
+        health.ejected_until = 100.0 + cls
+    assert policy.find_avoided_servers(10.0) == {3}
+    assert not policy.find_avoided_servers(100.0)
 
 
 async def by_server(stand: Stand) -> dict[str, Any]:
@@ -133,12 +133,12 @@
     return found
 
 
-def test_each_server_has_its_answers_by_class_and_what_is_out() -> None:
+def test_results_are_reported_by_server_and_class_with_cordons() -> None:
     full = answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
     async def test() -> None:
         peers = [await Peer().start(), await Peer(full).start(), await Peer(hang_up).start()]
-        async with running(*peers, admin=DOOR) as stand:
+        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             codes = [(await client.ask(request("book")))[0] for _ in range(30)]
             found = await by_server(stand)
@@ -156,10 +156,10 @@
     run(test())
 
 
-def test_what_is_out_is_told_and_a_restart_begins_anew() -> None:
+def test_attempts_in_flight_are_reported_and_a_restart_resets_the_counts() -> None:
     async def test() -> None:
         peer = await Peer(stay_silent).start()
-        async with running(peer, admin=DOOR) as stand:
+        async with running(peer, admin=ADMIN_ADDRESS) as stand:
             client = await stand.client()
             client.writer.write(request())
             await peer.requests.get()
@@ -183,13 +183,13 @@
     run(test())
 
 
-def test_a_bucket_is_a_fourth_of_an_octave_and_the_last_holds_the_rest() -> None:
-    figures = ServerMetrics(["find"])
-    figures.listed(1, "s-1", 0.0)
+def test_four_buckets_double_the_response_time_and_the_last_has_the_rest() -> None:
+    metrics = ServerMetrics(["find"])
+    metrics.add_server(1, "s-1", 0.0)
     for took in (0.0, 1.0, 3.0, 100.0, 1e9):
-        figures.ended(1, 0, Result.OK, took)
-    figures.ended(2, 0, Result.OK, 1.0)  # not listed any more: nobody asks for it
-    buckets = json.loads(figures.report({}, set()))["s-1"]["classes"]["find"]["took"]
+        metrics.record_attempt(1, 0, Result.OK, took)
+    metrics.record_attempt(2, 0, Result.OK, 1.0)  # not listed, so not counted
+    buckets = json.loads(metrics.report({}, set()))["s-1"]["classes"]["find"]["took"]
     assert buckets == [[0, 1], [4, 1], [8, 1], [26, 1], [63, 1]]
     for took, (bucket, _) in zip((0.0, 1.0, 3.0, 100.0), buckets, strict=False):
         assert 2 ** (bucket / 4) - 1 <= took < 2 ** ((bucket + 1) / 4) - 1
