--- a/benchmarks/release_rig.py
+++ b/benchmarks/release_rig.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from flaxstep.faultbench.farm import Farm, build
-from flaxstep.faultbench.operators import OperatorCommands, run_controller
+from flaxstep.faultbench.farm import Farm, build_node
+from flaxstep.faultbench.operators import OperatorCommands, start_controller
 from flaxstep.faultbench.result import Result, judge_play
 from flaxstep.simulator.scenario import read_scenario
 
@@ -98,22 +98,22 @@
     path.write_text(FARM)
     scenario = read_scenario(path)
     code, ended = 0, float(LENGTH)
-    async with Farm(scenario, path, seed, folder / "play") as stage:
-        await stage.open()
-        await stage.begin()
+    async with Farm(scenario, path, seed, folder / "play") as farm:
+        await farm.start_processes()
+        await farm.begin_play()
         if release:
-            staff = OperatorCommands(stage)
-            await staff.open()
-            (folder / "plan.toml").write_text(PLAN + staff.commands("servers"))
+            staff = OperatorCommands(farm)
+            await staff.start()
+            (folder / "plan.toml").write_text(PLAN + staff.command_table("servers"))
             log = folder / "controller.log"
-            child = await run_controller(stage, folder / "plan.toml", staff.farm_file(), log)
+            child = await start_controller(farm, folder / "plan.toml", staff.write_farm_file(), log)
             async with asyncio.timeout(END_TIME):
                 code = await child.process.wait()
             staff.close()
-            staff.note_calls()
-            ended = time.monotonic() - stage.t0
-            await stage.children["clients"].call("stop")
-        while await stage.children["clients"].call("left"):
+            staff.record_cordons()
+            ended = time.monotonic() - farm.play_start
+            await farm.children["clients"].call("stop")
+        while await farm.children["clients"].call("left"):
             await asyncio.sleep(0.1)
     return Played(code, ended, judge_play(scenario, seed, folder / "play"))
 
@@ -157,7 +157,7 @@
 
 def main() -> None:
     count, both, at_once = (*map(int, sys.argv[1:4]), *(100, 24, 4)[len(sys.argv) - 1 :])
-    build()
+    build_node()
     with tempfile.TemporaryDirectory() as folder:
         found = asyncio.run(pairs(count, both, at_once, Path(folder)))
     print("\n".join(summary(found)))
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from flaxstep.faultbench.child_process import ROOT, ChildProcess
-from flaxstep.faultbench.farm import Farm, build, claim
+from flaxstep.faultbench.farm import Farm, build_node, lock_loopback_address
 from flaxstep.faultbench.result import judge_play
 from flaxstep.faultbench.runner import play
 from flaxstep.simulator.scenario import read_scenario
@@ -63,7 +63,7 @@
 
 async def link(folder: Path) -> None:
     """An echo called directly and through a link, in turn."""
-    held, host = claim()
+    held, host = lock_loopback_address()
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(65536):
@@ -76,14 +76,14 @@
     }  # fmt: skip
     config = {"seed": 1, "t0": time.monotonic(), "record": str(folder / "links.jsonl")}
     config |= {"links": [spec], "down": []}
-    child = await ChildProcess.stand_in("links", "links", config, folder)
+    child = await ChildProcess.start_service("links", "links", config, folder)
     added, used = [], []
     for _ in range(PAIRS):
         direct = await rounds(host, 3)
         before = cpu_s(child.process.pid)
         added.append(await rounds(host, 2) - direct)
         used.append(1e6 * (cpu_s(child.process.pid) - before) / ROUNDS)
-    await child.end()
+    await child.kill()
     held.close()
     print(f"link: adds {spread(added)} µs to a round trip, uses {spread(used)} µs of CPU; {PAIRS} pairs")
 
@@ -95,10 +95,10 @@
     took = []
     for i in range(5):
         begun = time.monotonic()
-        async with Farm(scenario, Path(), i, folder / f"start-{i}") as stage:
-            await stage.open(clients=False)
+        async with Farm(scenario, Path(), i, folder / f"start-{i}") as farm:
+            await farm.start_processes(clients=False)
             took.append(time.monotonic() - begun)
-            count = len(stage.children)
+            count = len(farm.children)
     print(f"start: {count} processes ready in {spread(took)} s; 5 starts")
 
 
@@ -176,7 +176,7 @@
 
 
 def main() -> None:
-    build()
+    build_node()
     with tempfile.TemporaryDirectory() as folder:
         for part in sys.argv[1:] or PARTS:
             uvloop.run(PARTS[part](Path(folder)))
--- a/flaxstep/cli_faultbench.py
+++ b/flaxstep/cli_faultbench.py
@@ -1,4 +1,4 @@
-"""The commands that start processes or call them: `rig play`, `demo`, `load`."""
+"""The commands that run or call processes: `rig play`, `rig soak`, `demo` and `load`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from flaxstep.command_error import CommandError
 from flaxstep.faultbench.child_process import ROOT
 from flaxstep.faultbench.fake_service import FaultBenchError
-from flaxstep.faultbench.farm import build
+from flaxstep.faultbench.farm import build_node
 from flaxstep.faultbench.load_generator import (
     Order,
     Summary,
@@ -34,9 +34,9 @@
 from flaxstep.faultbench.soak.timeline import report
 from flaxstep.simulator.scenario import ScenarioError, read_scenario
 
-CASES = ("in_time", "late", "refused", "failed", "unserved")
-NOT_RUN_PART = 0.1  # of a soak's plays that may not have been played properly
-ENDED = 130  # exit code after Ctrl-C
+OUTCOMES = ("in_time", "late", "refused", "failed", "unserved")
+MAX_NOT_RUN_SHARE = 0.1  # a soak with a larger share of plays not run fails
+EXIT_INTERRUPTED = 130  # after Ctrl-C
 
 
 @click.group()
@@ -82,13 +82,13 @@
     not_run = sum(bool(outcome.trouble) for outcome in outcomes)
     broken = sum(bool(outcome.breaches) for outcome in outcomes)
     click.echo(f"{len(outcomes)} plays: {broken} broke a rule, {not_run} not run; records in {folder}")
-    sys.exit(1 if broken or not_run > NOT_RUN_PART * len(outcomes) else 0)
+    sys.exit(1 if broken or not_run > MAX_NOT_RUN_SHARE * len(outcomes) else 0)
 
 
 async def run_soak(
     seed: int, numbers: list[int], seconds: float, side_by_side: int, folder: Path
 ) -> list[SoakOutcome]:
-    """Play and show each as it ends: a line, and for a breach what every process saw of it."""
+    """Runs the plays and prints a line as each ends, and for a breach what every process recorded of it."""
     outcomes = []
     async for outcome in soak(seed, numbers, seconds, side_by_side, folder):
         outcomes.append(outcome)
@@ -96,8 +96,8 @@
         farm = f"{drawn.nodes} nodes, {drawn.servers} servers, {drawn.zones} zones"
         click.echo(f"play {drawn.number}: {outcome.verdict}; {farm}; {'; '.join(drawn.faults)}")
         if outcome.breaches:
-            again = f"flaxstep rig soak --seed {seed} --only {drawn.number} --seconds {seconds:g}"
-            click.echo(f"  again: {again}")
+            repeat_command = f"flaxstep rig soak --seed {seed} --only {drawn.number} --seconds {seconds:g}"
+            click.echo(f"  again: {repeat_command}")
             for line in report(outcome.folder / "records", outcome.breaches):
                 click.echo(f"  {line}")
     return outcomes
@@ -109,8 +109,8 @@
 def demo_command(seed: int, out: Path | None) -> None:
     """A minute of a farm at work, all on this machine: three nodes, nine job servers in three zones.
 
-    A burst of 2.4 times, a server that stands still, one taken out and called back, a node emptied and back,
-    a zone cut off for five seconds. At its end: a table by class, and a report to open in a browser.
+    A burst of 2.4 times the load, a server that is paused, one cordoned and uncordoned, a node quiesced and
+    resumed, a zone cut off for five seconds. At the end: a table by class, and a report for the browser.
     """
     result = run_play(ROOT / "scenarios" / "demo.toml", seed, folder_for(out, "demo", seed))
     sys.exit(1 if result.broken else 0)
@@ -148,7 +148,7 @@
     even: bool,
     as_json: bool,
 ) -> None:
-    """Send open-loop load to nodes on this machine, and say how they answered. Loopback addresses only.
+    """Send open-loop load to nodes on this machine and print their responses. Loopback addresses only.
 
     Latencies count from the time at which a request was meant to be sent. Exit code 1 if none was served.
 
@@ -180,15 +180,15 @@
     times = ("p50", "p90", "p99", "p99.9", "max")
     table = Table("class", *columns, *(f"{name} ms" for name in times))
     for count in summary.classes:
-        took = (f"{count.latency_ms[t]:.1f}" if t in count.latency_ms else "" for t in times)
-        table.add_row(count.name, *(str(getattr(count, name)) for name in columns), *took)
+        latencies = (f"{count.latency_ms[t]:.1f}" if t in count.latency_ms else "" for t in times)
+        table.add_row(count.name, *(str(getattr(count, name)) for name in columns), *latencies)
     console = Console(highlight=False, width=110)
     console.print(table)
     console.print(f"{summary.seconds:.1f} s; sent late by {summary.behind_ms:.1f} ms at most in 99 of 100")
 
 
 def folder_for(out: Path | None, name: str, seed: int) -> Path:
-    """Where a play's files go: a folder of its own, never one that holds another play."""
+    """Returns the folder for a play's files: a new or empty one, never one that holds another play."""
     try:
         if out is None:
             return new_folder(name, seed)
@@ -201,7 +201,7 @@
 
 
 def new_folder(name: str, seed: int) -> Path:
-    """One that nobody else has: two plays may begin in the same second."""
+    """Creates a folder with an unused name: two plays may begin in the same second."""
     stem = f"{name}-{seed}-{time.strftime('%Y%m%d-%H%M%S')}"
     Path("runs").mkdir(exist_ok=True)
     for number in itertools.count(1):
@@ -213,11 +213,11 @@
 
 
 def run_play(path: Path, seed: int, folder: Path) -> Result:
-    """Play, judge, keep and show the result."""
+    """Runs a play, judges it, writes the result and the report, and prints the result."""
     console = Console(highlight=False, width=110)
     try:
         scenario = read_scenario(path)
-        build()
+        build_node()
         with Progress(
             TextColumn("{task.completed:5.1f} s"),
             BarColumn(),
@@ -236,7 +236,7 @@
         raise CommandError(str(error)) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
         click.echo("flaxstep: ended before the play was over; its processes are ended too", err=True)
-        sys.exit(ENDED)
+        sys.exit(EXIT_INTERRUPTED)
     result = judge_play(scenario, seed, folder)
     write_result(result, folder)
     write_report(result, folder)
@@ -251,11 +251,11 @@
         f"G {verdict.g:.4f}   whole day {verdict.served:.4f}   "
         f"worst 10 s {verdict.worst_window:.4f} (from {verdict.worst_from} s)"
     )
-    table = Table("", "served", *(case.replace("_", " ") for case in CASES), "p50 ms", "p99 ms")
+    table = Table("", "served", *(case.replace("_", " ") for case in OUTCOMES), "p50 ms", "p99 ms")
     for line in [*result.classes, *result.zones, *result.tens]:
-        took = result.latency_ms.get(line.name, {})
-        times = (f"{took[p]:.0f}" if p in took else "" for p in ("p50", "p99"))
-        table.add_row(line.name, served(line), *(str(getattr(line, case)) for case in CASES), *times)
+        latencies = result.latency_ms.get(line.name, {})
+        times = (f"{latencies[p]:.0f}" if p in latencies else "" for p in ("p50", "p99"))
+        table.add_row(line.name, served_share(line), *(str(getattr(line, case)) for case in OUTCOMES), *times)
     console.print(table)
     console.print(
         f"attempts between zones {result.crossings}; servers slowed {result.slowed}, fallen {result.fell}; "
@@ -270,5 +270,5 @@
     console.print(f"report: {folder / 'report.html'}", soft_wrap=True)
 
 
-def served(line: Line) -> str:
+def served_share(line: Line) -> str:
     return f"{line.earned / line.asked:.4f}" if line.asked else "-"
--- a/flaxstep/faultbench/clients.py
+++ b/flaxstep/faultbench/clients.py
@@ -14,7 +14,13 @@
 
 import httptools
 
-from flaxstep.faultbench.fake_service import Address, FakeService, Tasks, loopback, run
+from flaxstep.faultbench.fake_service import (
+    Address,
+    BackgroundTasks,
+    FakeService,
+    require_loopback,
+    run_service,
+)
 from flaxstep.faultbench.records import Answered, Asked, Recorder
 from flaxstep.simulator.engine import Streams
 from flaxstep.simulator.sampling import Plan, draw_plan
@@ -59,7 +65,7 @@
         self.recorder, self.loop = recorder, loop
         self.scenario: Scenario = read_scenario(Path(config["scenario"]))
         self.plan: Plan = draw_plan(self.scenario, config["seed"])
-        self.fronts: list[Address] = [(loopback(host), port) for host, port in config["fronts"]]
+        self.fronts: list[Address] = [(require_loopback(host), port) for host, port in config["fronts"]]
         figures = self.plan.figures
         self.share, self.backoff = figures["clients.try_share"], figures["clients.backoff_ms"]
         self.retries, self.honour = int(figures["clients.retries"]), figures["clients.honour"]
@@ -67,7 +73,7 @@
         self.idle: list[list[Connection]] = [[] for _ in self.fronts]
         self.next = 0
         self.open = 0  # tries that wait for their answer
-        self.tasks = Tasks()
+        self.tasks = BackgroundTasks()
 
     def body_size(self) -> int:
         size = self.scenario.rig.body_bytes
@@ -76,7 +82,7 @@
     async def start(self) -> None:
         """They come when the play begins."""
 
-    def begun(self) -> None:
+    def on_play_begin(self) -> None:
         self.schedule()
 
     def schedule(self) -> None:
@@ -294,4 +300,4 @@
 
 
 if __name__ == "__main__":
-    run(Clients)
+    run_service(Clients)
--- a/flaxstep/faultbench/commands.py
+++ b/flaxstep/faultbench/commands.py
@@ -1,11 +1,11 @@
-"""What a release's commands call on the rig, in the place of the platform's own tools:
+"""Client of the rig that the commands of a release plan run in place of the platform's own tools:
 
-    python -m flaxstep.faultbench.commands HOST:PORT restart s-0003 v2  a job server's process, with a version
-    python -m flaxstep.faultbench.commands HOST:PORT version s-0003     the version that runs there
-    python -m flaxstep.faultbench.commands HOST:PORT check s-0003       whether it answers rightly
-    python -m flaxstep.faultbench.commands HOST:PORT start n0 v2 DOOR   a node's second process, and so on
+    python -m flaxstep.faultbench.commands HOST:PORT restart s-0003 v2  restarts a job server with a version
+    python -m flaxstep.faultbench.commands HOST:PORT version s-0003     prints the version that it runs
+    python -m flaxstep.faultbench.commands HOST:PORT check s-0003       checks its self-test
+    python -m flaxstep.faultbench.commands HOST:PORT start n0 v2 DOOR   starts a node's second process
 
-Exit code 0 and what was asked on standard output, or 1 and why not on standard error.
+Exits with 0 and the result on standard output, or with 1 and the error on standard error.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 import sys
 
 
-def main(words: list[str]) -> int:
-    place, do, *arguments = words
-    host, _, port = place.rpartition(":")
-    with socket.create_connection((host, int(port))) as way, way.makefile("rwb") as lines:
-        lines.write(json.dumps([do, *arguments]).encode() + b"\n")
+def main(argv: list[str]) -> int:
+    address, command, *arguments = argv
+    host, _, port = address.rpartition(":")
+    with socket.create_connection((host, int(port))) as connection, connection.makefile("rwb") as lines:
+        lines.write(json.dumps([command, *arguments]).encode() + b"\n")
         lines.flush()
-        answer = json.loads(lines.readline() or b'{"ok": false, "text": "the rig has ended"}')
-    print(answer["text"], file=sys.stdout if answer["ok"] else sys.stderr)
-    return 0 if answer["ok"] else 1
+        response = json.loads(lines.readline() or b'{"ok": false, "text": "the rig has ended"}')
+    print(response["text"], file=sys.stdout if response["ok"] else sys.stderr)
+    return 0 if response["ok"] else 1
 
 
 if __name__ == "__main__":
--- a/flaxstep/faultbench/fake_service.py
+++ b/flaxstep/faultbench/fake_service.py
@@ -1,7 +1,8 @@
-"""What all stand-ins share: their start, calls from the rig, a clock for the lab's parts, loopback alone.
+"""Base of the fake services of the fault bench: start-up, calls from the rig, a real-time clock.
 
-The rig writes calls to a stand-in's standard input, one JSON object a line, `do` naming the call; each is
-answered by one line on standard output. When the input ends the rig is gone, and so is the stand-in.
+The rig writes calls to a service's standard input as one JSON object per line, whose key `do` names the call.
+The service writes one response line per call to standard output. It exits when its standard input ends,
+because then the rig has ended. Services accept loopback addresses only.
 """
 
 from __future__ import annotations
@@ -22,22 +23,22 @@
 
 
 class FaultBenchError(Exception):
-    """What the rig can't do, in one line."""
+    """The rig cannot carry out an operation; the message is a single line."""
 
 
-def loopback(host: str) -> str:
-    """The host, if it is this machine's loopback; anything else is refused."""
+def require_loopback(host: str) -> str:
+    """Returns the host if it is an IPv4 loopback address; raises FaultBenchError for anything else."""
     try:
-        ours = ipaddress.IPv4Address(host).is_loopback
+        is_loopback = ipaddress.IPv4Address(host).is_loopback
     except ValueError:
-        ours = False
-    if not ours:
+        is_loopback = False
+    if not is_loopback:
         raise FaultBenchError(f"{host}: not a loopback address (127.0.0.0/8); the rig talks to nothing else")
     return host
 
 
 class RealEngine:
-    """The lab's clock and calls, in real time: ms since the play began."""
+    """The simulator's Engine interface in real time; times are ms since the play began."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, recorder: Recorder) -> None:
         self._loop, self._recorder = loop, recorder
@@ -54,56 +55,58 @@
             self._loop.call_later(max(delay, 0.0) / 1000, call, *arguments)
 
 
-class Tasks(set[asyncio.Task[None]]):
-    """What runs beside; the loop itself holds no task, so somebody must until it is done."""
+class BackgroundTasks(set[asyncio.Task[None]]):
+    """Keeps references to running tasks until they finish: the event loop holds only weak ones."""
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.add(task)
         task.add_done_callback(self.discard)
 
 
 class FakeService(Protocol):
-    """A stand-in: `start` makes it ready; its calls are methods named `do_NAME` that return what JSON can
-    say."""
+    """A fake service. `start` makes it ready.
+
+    Calls from the rig are methods named `do_NAME`, whose results JSON can encode.
+    """
 
     async def start(self) -> None: ...
 
-    def begun(self) -> None:
-        """The play has begun: the clock stands at 0."""
+    def on_play_begin(self) -> None:
+        """Called when the play begins, with the clock at 0."""
 
 
-Make = Callable[[dict[str, Any], Recorder, asyncio.AbstractEventLoop], FakeService]
+ServiceFactory = Callable[[dict[str, Any], Recorder, asyncio.AbstractEventLoop], FakeService]
 
 
-def run(make: Make) -> None:
-    """The whole life of a stand-in process; its configuration is the file that the first argument names."""
+def run_service(create_service: ServiceFactory) -> None:
+    """Runs a service process until its input ends. The first argument names its JSON configuration file."""
     config = json.loads(Path(sys.argv[1]).read_bytes())
-    uvloop.run(_serve(make, config))
+    uvloop.run_service(_serve_calls(create_service, config))
 
 
-async def _serve(make: Make, config: dict[str, Any]) -> None:
+async def _serve_calls(create_service: ServiceFactory, config: dict[str, Any]) -> None:
     loop = asyncio.get_running_loop()
     recorder = Recorder(Path(config["record"]), config["t0"])
-    stand_in = make(config, recorder, loop)
-    await stand_in.start()
-    calls = asyncio.StreamReader(limit=1 << 24)
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(calls), sys.stdin)
-    _reply({"ready": True})
-    while line := await calls.readline():
+    service = create_service(config, recorder, loop)
+    await service.start()
+    input_lines = asyncio.StreamReader(limit=1 << 24)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(input_lines), sys.stdin)
+    _write_response({"ready": True})
+    while line := await input_lines.readline():
         call = json.loads(line)
         try:
-            if call["do"] == "begin":  # of the play: until now all times lay before it
+            if call["do"] == "begin":  # sets the clock to 0; all times before were negative
                 recorder.t0 = call["t0"]
-                stand_in.begun()
-                _reply({"result": None})
+                service.on_play_begin()
+                _write_response({"result": None})
                 continue
-            result = getattr(stand_in, f"do_{call.pop('do')}")(**call)
-            _reply({"result": result})
-        except Exception as error:  # the rig is told, whatever it was
-            _reply({"error": f"{type(error).__name__}: {error}"})
+            result = getattr(service, f"do_{call.pop('do')}")(**call)
+            _write_response({"result": result})
+        except Exception as error:  # reported to the rig, whatever its cause
+            _write_response({"error": f"{type(error).__name__}: {error}"})
 
 
-def _reply(answer: dict[str, Any]) -> None:
-    sys.stdout.write(json.dumps(answer) + "\n")
+def _write_response(response: dict[str, Any]) -> None:
+    sys.stdout.write(json.dumps(response) + "\n")
     sys.stdout.flush()
--- a/flaxstep/faultbench/forwarder.py
+++ b/flaxstep/faultbench/forwarder.py
@@ -1,4 +1,4 @@
-"""Two connections joined: what comes in at one goes out at the other, with what the way does to it."""
+"""Forwards bytes between two joined connections, with delay, rate limit, loss or reset per direction."""
 
 from __future__ import annotations
 
@@ -10,184 +10,186 @@
 from dataclasses import dataclass
 from typing import cast
 
-MOST_QUEUED = 1 << 18  # bytes under way in one direction; beyond it the sender has to wait
-LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: close with a reset
+MAX_QUEUED_BYTES = 1 << 18  # in one direction; beyond it, reading from the sender pauses
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value that makes close send a reset
 
 
 @dataclass(frozen=True, slots=True)
-class Effect:
-    """What a way does to bytes."""
+class Impairment:
+    """What happens to the bytes of one direction."""
 
-    delay: float = 0.0  # s
-    jitter: float = 0.0  # s more at most
-    rate: float = 0.0  # bytes a second; 0: as they come
+    delay_s: float = 0.0
+    jitter_s: float = 0.0  # upper bound of a random delay in addition
+    rate_bytes_s: float = 0.0  # 0: unlimited
     silent: bool = False
     reset: bool = False
 
 
-CLEAR = Effect()
+UNIMPAIRED = Impairment()
 
 
-def reset(transport: asyncio.Transport) -> None:
-    """End a connection at once, as the kernel does for a process that has died with bytes unread."""
-    ours: socket.socket | None = transport.get_extra_info("socket")
-    if ours is not None and not transport.is_closing():
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+def reset_connection(transport: asyncio.Transport) -> None:
+    """Closes a connection with a reset, as the kernel does when a process exits with unread bytes."""
+    connection_socket: socket.socket | None = transport.get_extra_info("socket")
+    if connection_socket is not None and not transport.is_closing():
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     transport.abort()
 
 
-class Way:
-    """One direction of a pair: bytes and the end, in order, each at its time."""
+class Direction:
+    """One direction of a pair: delivers bytes and the close in order, each when it is due."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, source: Side, target: Side) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, source: PairSide, target: PairSide) -> None:
         self.loop, self.source, self.target = loop, source, target
-        self.effect, self.chance = CLEAR, cast(Callable[[], float], None)
-        self.queue: deque[tuple[float, bytes | None, bool]] = deque()  # due, bytes; None: the end, by a reset
-        self.queued = 0
-        self.last = self.free = 0.0
-        self.lost = False  # bytes have vanished: nothing that follows may arrive
-        self.over = False
-
-    def push(self, data: bytes | None, hard: bool = False) -> None:
-        effect = self.effect
-        if effect.silent or self.lost:
-            self.lost = True
+        self.impairment, self.random = UNIMPAIRED, cast(Callable[[], float], None)
+        self.queue: deque[tuple[float, bytes | None, bool]] = (
+            deque()
+        )  # due time, bytes (None: close), whether the close is a reset
+        self.queued_bytes = 0
+        self.last_due = self.rate_free_at = 0.0
+        self.bytes_dropped = False  # bytes were lost, so nothing after them may be delivered
+        self.close_delivered = False
+
+    def enqueue(self, data: bytes | None, by_reset: bool = False) -> None:
+        impairment = self.impairment
+        if impairment.silent or self.bytes_dropped:
+            self.bytes_dropped = True
             return
-        if effect is CLEAR and not self.queue and self.target.transport is not None:
-            self.deliver(data, hard)
+        if impairment is UNIMPAIRED and not self.queue and self.target.transport is not None:
+            self.deliver(data, by_reset)
             return
         now = self.loop.time()
-        due = now + effect.delay + (effect.jitter * self.chance() if effect.jitter else 0.0)
-        if effect.rate and data:
-            self.free = max(self.free, now) + len(data) / effect.rate
-            due = max(due, self.free)
-        self.last = max(due, self.last)
-        self.queue.append((self.last, data, hard))
-        self.queued += len(data or b"")
+        due = now + impairment.delay_s + (impairment.jitter_s * self.random() if impairment.jitter_s else 0.0)
+        if impairment.rate_bytes_s and data:
+            self.rate_free_at = max(self.rate_free_at, now) + len(data) / impairment.rate_bytes_s
+            due = max(due, self.rate_free_at)
+        self.last_due = max(due, self.last_due)
+        self.queue.append((self.last_due, data, by_reset))
+        self.queued_bytes += len(data or b"")
         if len(self.queue) == 1:
-            self.loop.call_at(self.last, self.pump)
-        if self.queued > MOST_QUEUED:
-            self.source.pause()
+            self.loop.call_at(self.last_due, self.deliver_due)
+        if self.queued_bytes > MAX_QUEUED_BYTES:
+            self.source.pause_reading()
 
-    def pump(self) -> None:
-        if self.target.transport is None:  # not up yet; it pumps when it is
+    def deliver_due(self) -> None:
+        if self.target.transport is None:  # not connected yet; `open` calls this again
             return
         now = self.loop.time()
         while self.queue and self.queue[0][0] <= now + 0.0002:
-            _, data, hard = self.queue.popleft()
-            self.queued -= len(data or b"")
-            if self.effect.silent:
-                self.lost = True
-            if not self.lost:
-                self.deliver(data, hard)
+            _, data, by_reset = self.queue.popleft()
+            self.queued_bytes -= len(data or b"")
+            if self.impairment.silent:
+                self.bytes_dropped = True
+            if not self.bytes_dropped:
+                self.deliver(data, by_reset)
         if self.queue:
-            self.loop.call_at(self.queue[0][0], self.pump)
-        if self.queued <= MOST_QUEUED:
-            self.source.go_on()
+            self.loop.call_at(self.queue[0][0], self.deliver_due)
+        if self.queued_bytes <= MAX_QUEUED_BYTES:
+            self.source.resume_reading()
 
-    def deliver(self, data: bytes | None, hard: bool) -> None:
+    def deliver(self, data: bytes | None, by_reset: bool) -> None:
         target = self.target.transport
         assert target is not None
         if target.is_closing():
             return
         if data is not None:
             target.write(data)
-        elif hard:
-            reset(target)
-        elif not self.over:
-            self.over = True
+        elif by_reset:
+            reset_connection(target)
+        elif not self.close_delivered:
+            self.close_delivered = True
             target.close()
 
 
-class Side(asyncio.Protocol):
-    """One connection of a pair. `taken` hears of what comes in, before it goes on its way."""
+class PairSide(asyncio.Protocol):
+    """One connection of a pair. Passes bytes to the pair's `on_data` before it forwards them."""
 
-    def __init__(self, pair: Pair) -> None:
+    def __init__(self, pair: ConnectionPair) -> None:
         self.pair = pair
         self.transport: asyncio.Transport | None = None
-        self.other: Side
-        self.way: Way  # from here to the other side
+        self.opposite: PairSide
+        self.outgoing: Direction  # towards the opposite side
         self.paused = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.pair.made(self)
+        self.pair.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.pair.taken(self, data)
-        self.way.push(data)
+        self.pair.on_data(self, data)
+        self.outgoing.enqueue(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pair.ended(self)
-        self.way.push(None, exc is not None)
+        self.pair.on_closed(self)
+        self.outgoing.enqueue(None, exc is not None)
 
     def pause_writing(self) -> None:
-        self.other.pause()
+        self.opposite.pause_reading()
 
     def resume_writing(self) -> None:
-        self.other.go_on()
+        self.opposite.resume_reading()
 
-    def pause(self) -> None:
+    def pause_reading(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
 
-class Pair:
-    """A caller's connection and the one that was opened for it."""
+class ConnectionPair:
+    """A caller's connection and the connection to the callee that was opened for it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.caller, self.callee = Side(self), Side(self)
-        self.caller.other, self.callee.other = self.callee, self.caller
-        self.there = self.caller.way = Way(loop, self.caller, self.callee)
-        self.back = self.callee.way = Way(loop, self.callee, self.caller)
+        self.caller, self.callee = PairSide(self), PairSide(self)
+        self.caller.opposite, self.callee.opposite = self.callee, self.caller
+        self.forward = self.caller.outgoing = Direction(loop, self.caller, self.callee)
+        self.backward = self.callee.outgoing = Direction(loop, self.callee, self.caller)
 
     async def open(self, accepted: socket.socket, host: str, port: int) -> None:
-        """Join an accepted connection with a new one; if that can't be opened, the caller's is reset."""
+        """Connects to the callee for an accepted connection; resets the caller's connection if that fails."""
         await self.loop.connect_accepted_socket(lambda: self.caller, accepted)
         assert self.caller.transport is not None
         try:
             await self.loop.create_connection(lambda: self.callee, host, port)
         except OSError:
-            reset(self.caller.transport)
+            reset_connection(self.caller.transport)
             return
-        self.there.pump()  # what has come meanwhile, the end included
+        self.forward.deliver_due()  # bytes and the close that arrived meanwhile
 
-    def cut(self) -> None:
-        """Reset both connections."""
+    def reset_both(self) -> None:
+        """Resets both connections."""
         for side in (self.caller, self.callee):
             if side.transport is not None:
-                reset(side.transport)
+                reset_connection(side.transport)
 
-    def made(self, side: Side) -> None:
-        """A side's connection is up."""
+    def on_connected(self, side: PairSide) -> None:
+        """Called when a side's connection is established."""
 
-    def taken(self, side: Side, data: bytes) -> None:
-        """Bytes have come in at a side."""
+    def on_data(self, side: PairSide, data: bytes) -> None:
+        """Called when bytes arrive from a side."""
 
-    def ended(self, side: Side) -> None:
-        """A side's connection has ended."""
+    def on_closed(self, side: PairSide) -> None:
+        """Called when a side's connection has closed."""
 
 
-def listener(host: str, port: int) -> socket.socket:
-    """A socket bound for TCP, not listening yet."""
-    bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bound.setblocking(False)
-    bound.bind((host, port))
-    return bound
+def bind_listener(host: str, port: int) -> socket.socket:
+    """Returns a bound, non-blocking TCP socket that does not listen yet."""
+    listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.setblocking(False)
+    listening_socket.bind((host, port))
+    return listening_socket
 
 
-def waiting(listening: socket.socket) -> Iterator[tuple[socket.socket, tuple[str, int]]]:
-    """The connections that wait at a listener, and who opened them."""
+def accept_waiting(listening: socket.socket) -> Iterator[tuple[socket.socket, tuple[str, int]]]:
+    """Accepts the connections that wait in a listener's backlog; yields each with its peer address."""
     while True:
         try:
             accepted, peer = listening.accept()
-        except OSError:  # none left, or it has gone again
+        except OSError:  # none left, or the connection was aborted
             return
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/flaxstep/faultbench/load_generator.py
+++ b/flaxstep/faultbench/load_generator.py
@@ -19,7 +19,7 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from flaxstep.faultbench.fake_service import Address, FaultBenchError, loopback
+from flaxstep.faultbench.fake_service import Address, FaultBenchError, require_loopback
 
 MOST_RATE, MOST_SECONDS, MOST_REQUESTS = 50_000.0, 3600.0, 5_000_000
 MOST_CONNECTIONS = 10_000
@@ -93,7 +93,7 @@
         port = None
     if parts.scheme != "http" or not parts.hostname or port is None or parts.path.strip("/"):
         raise FaultBenchError(f"{url}: not http://HOST:PORT")
-    return loopback(parts.hostname), port
+    return require_loopback(parts.hostname), port
 
 
 def parse_class(text: str) -> LoadClass:
--- a/flaxstep/faultbench/runner.py
+++ b/flaxstep/faultbench/runner.py
@@ -1,4 +1,4 @@
-"""One play: the farm is started, the timetable run, all is ended, and what happened is judged."""
+"""Runs one play: starts the farm, executes the steps of its schedule, and ends all its processes."""
 
 from __future__ import annotations
 
@@ -13,28 +13,33 @@
 from flaxstep.faultbench.schedule import Schedule, Step
 from flaxstep.simulator.scenario import Scenario
 
-AFTER = 4.0  # s for which a play goes on at most after its last first try
-LOOK = 0.25  # s
-Progress = Callable[[float, float, str], None]  # s played, s in all, what just happened
+MAX_OVERTIME_S = 4.0  # after the end of the scenario, for requests that are still open
+POLL_INTERVAL_S = 0.25
+Progress = Callable[[float, float, str], None]  # seconds played, seconds in all, the step just executed
 
 
-def quiet(_: float, __: float, ___: str) -> None:
-    """For who wants no progress."""
+def ignore_progress(_: float, __: float, ___: str) -> None:
+    """The default: reports no progress."""
 
 
 async def play(
-    scenario: Scenario, path: Path, seed: int, folder: Path, progress: Progress = quiet, run: str = ""
+    scenario: Scenario,
+    path: Path,
+    seed: int,
+    folder: Path,
+    progress: Progress = ignore_progress,
+    run: str = "",
 ) -> None:
-    """Play a scenario in real time; its records are in the folder afterwards, and no process is left."""
+    """Plays a scenario in real time. Afterwards its records are in the folder and no process is left."""
     loop = asyncio.get_running_loop()
-    this = asyncio.current_task()
-    assert this is not None
-    loop.add_signal_handler(signal.SIGTERM, this.cancel)
+    current_task = asyncio.current_task()
+    assert current_task is not None
+    loop.add_signal_handler(signal.SIGTERM, current_task.cancel)
     try:
-        async with Farm(scenario, path, seed, folder, run) as stage:
-            await stage.open()
-            await stage.begin()
-            await run_steps(stage, Schedule(scenario, stage.plan).steps, progress)
+        async with Farm(scenario, path, seed, folder, run) as farm:
+            await farm.start_processes()
+            await farm.begin_play()
+            await run_steps(farm, Schedule(scenario, farm.plan).steps, progress)
     except ExceptionGroup as group:
         failed, _ = group.split(FaultBenchError)
         if failed is None:
@@ -44,31 +49,31 @@
         loop.remove_signal_handler(signal.SIGTERM)
 
 
-async def run_steps(stage: Farm, steps: list[Step], progress: Progress = quiet) -> None:
-    """Each step at its time, until the clients have had all their answers."""
-    length = stage.plan.length / 1000
-    in_time = [step for step in steps if step.at <= stage.plan.length]
+async def run_steps(farm: Farm, steps: list[Step], progress: Progress = ignore_progress) -> None:
+    """Executes each step at its time, until the clients have received all responses."""
+    length_s = farm.plan.length / 1000
+    due_steps = [step for step in steps if step.at <= farm.plan.length]
     async with asyncio.TaskGroup() as group:
-        tasks = [group.create_task(perform(stage, step, progress)) for step in in_time]
-        while played(stage) < length + AFTER:
-            await asyncio.sleep(LOOK)
-            progress(min(played(stage), length), length, "")
-            if played(stage) > length and not await stage.children["clients"].call("left"):
+        tasks = [group.create_task(perform_step(farm, step, progress)) for step in due_steps]
+        while elapsed_s(farm) < length_s + MAX_OVERTIME_S:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            progress(min(elapsed_s(farm), length_s), length_s, "")
+            if elapsed_s(farm) > length_s and not await farm.children["clients"].call("left"):
                 break
         for task in tasks:
             task.cancel()
 
 
-async def perform(stage: Farm, step: Step, progress: Progress) -> None:
-    await asyncio.sleep(max(0.0, step.at / 1000 - played(stage)))
+async def perform_step(farm: Farm, step: Step, progress: Progress) -> None:
+    await asyncio.sleep(max(0.0, step.at / 1000 - elapsed_s(farm)))
     if step.do != "set_server":
-        told = " ".join(str(value) for value in step.arguments.values() if not isinstance(value, dict))
-        progress(played(stage), stage.plan.length / 1000, f"{step.do} {told}")
+        arguments = " ".join(str(value) for value in step.arguments.values() if not isinstance(value, dict))
+        progress(elapsed_s(farm), farm.plan.length / 1000, f"{step.do} {arguments}")
     try:
-        await getattr(stage, step.do)(**step.arguments)
-    except FaultBenchError as error:  # a process that is not there: the play goes on, and the record says so
-        stage.note("step failed", step.do, str(error))
+        await getattr(farm, step.do)(**step.arguments)
+    except FaultBenchError as error:  # e.g. the process has ended: recorded, and the play continues
+        farm.record_event("step failed", step.do, str(error))
 
 
-def played(stage: Farm) -> float:
-    return time.monotonic() - stage.t0
+def elapsed_s(farm: Farm) -> float:
+    return time.monotonic() - farm.play_start
--- a/flaxstep/faultbench/shim/sitecustomize.py
+++ b/flaxstep/faultbench/shim/sitecustomize.py
@@ -1,9 +1,8 @@
-"""Loaded by a node's Python at its start when the rig asks for it: a clock that is off, a folder that can't
-be written.
+"""Injects clock and disk faults into a node's Python process, which loads this module at its start.
 
-`RIG_SHIM` names a JSON file that the rig replaces in mid-play: `offset_s` for the wall clock (the monotonic
-one is the machine's), `disk` "full" or "failing" for what is opened for writing, renamed or synced below
-`folder`.
+`RIG_SHIM` names a JSON file that the rig replaces during a play. `offset_s` shifts the wall clock (the
+monotonic clock is unchanged). `disk`, "full" or "failing", makes opening for writing, renaming and replacing
+fail for files below `folder`.
 """
 
 from __future__ import annotations
@@ -17,35 +16,35 @@
 from typing import Any
 
 _path = os.environ.get("RIG_SHIM", "")
-_real_time, _real_time_ns = time.time, time.time_ns
+_original_time, _original_time_ns = time.time, time.time_ns
 _state: tuple[int, dict[str, Any]] = (-1, {})
 
 
-def _told() -> dict[str, Any]:
-    """What the file says; it is read anew when it has been replaced."""
+def _read_state() -> dict[str, Any]:
+    """Returns the content of the file; reads it again when it has been replaced."""
     global _state
-    stamp = os.stat(_path).st_mtime_ns
-    if stamp != _state[0]:
+    modified_ns = os.stat(_path).st_mtime_ns
+    if modified_ns != _state[0]:
         with io.FileIO(_path) as file:
-            _state = stamp, json.loads(file.readall())
+            _state = modified_ns, json.loads(file.readall())
     return _state[1]
 
 
-def _refuse(path: Any) -> None:
-    told = _told()
-    if not told.get("disk"):
+def _fail_if_faulty(path: Any) -> None:
+    state = _read_state()
+    if not state.get("disk"):
         return
     name = os.path.abspath(os.fsdecode(path))
-    if name.startswith(told["folder"] + os.sep):
-        code = errno.ENOSPC if told["disk"] == "full" else errno.EIO
+    if name.startswith(state["folder"] + os.sep):
+        code = errno.ENOSPC if state["disk"] == "full" else errno.EIO
         raise OSError(code, os.strerror(code), name)
 
 
-def _guard(real: Any, writes: Any) -> Any:
+def _wrap_write(original: Any, is_write: Any) -> Any:
     def call(path: Any, *arguments: Any, **named: Any) -> Any:
-        if not isinstance(path, int) and writes(*arguments, **named):
-            _refuse(path)
-        return real(path, *arguments, **named)
+        if not isinstance(path, int) and is_write(*arguments, **named):
+            _fail_if_faulty(path)
+        return original(path, *arguments, **named)
 
     return call
 
@@ -59,8 +58,10 @@
 
 
 if _path:
-    time.time = lambda: _real_time() + _told().get("offset_s", 0.0)
-    time.time_ns = lambda: _real_time_ns() + int(1e9 * _told().get("offset_s", 0.0))
-    builtins.open = io.open = _guard(io.open, _mode_writes)
-    os.open = _guard(os.open, _flags_write)
-    os.replace, os.rename = (_guard(real, lambda *_, **__: True) for real in (os.replace, os.rename))
+    time.time = lambda: _original_time() + _read_state().get("offset_s", 0.0)
+    time.time_ns = lambda: _original_time_ns() + int(1e9 * _read_state().get("offset_s", 0.0))
+    builtins.open = io.open = _wrap_write(io.open, _mode_writes)
+    os.open = _wrap_write(os.open, _flags_write)
+    os.replace, os.rename = (
+        _wrap_write(original, lambda *_, **__: True) for original in (os.replace, os.rename)
+    )
--- a/flaxstep/faultbench/shim/syscalls.c
+++ b/flaxstep/faultbench/shim/syscalls.c
@@ -13,17 +13,17 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define MOST_RULES 32
+#define MAX_RULES 32
 
 struct rule {
     char call[24];
-    int port; /* 0: any */
+    int port; /* 0: any port */
     int error;
     long first, last;
     long count;
 };
 
-static struct rule rules[MOST_RULES];
+static struct rule rules[MAX_RULES];
 static int rule_count;
 
 __attribute__((constructor)) static void read_rules(void) {
@@ -31,7 +31,7 @@
     char *copy, *rest, *word;
     if (text == NULL || (copy = strdup(text)) == NULL)
         return;
-    for (word = strtok_r(copy, ",", &rest); word != NULL && rule_count < MOST_RULES;
+    for (word = strtok_r(copy, ",", &rest); word != NULL && rule_count < MAX_RULES;
          word = strtok_r(NULL, ",", &rest)) {
         struct rule *rule = &rules[rule_count];
         char *colon = strchr(word, ':');
@@ -52,7 +52,7 @@
     free(copy);
 }
 
-/* Whether a call, to that port if it has one, fails: errno is set then. */
+/* Counts a call (to PORT, or 0) against the rules. Returns 1 with errno set if the call must fail. */
 static int fails(const char *call, int port) {
     int failing = 0;
     for (int i = 0; i < rule_count; i++) {
--- a/flaxstep/faultbench/trace.py
+++ b/flaxstep/faultbench/trace.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from flaxstep.faultbench.farm_config import names
-from flaxstep.faultbench.links import Fault
+from flaxstep.faultbench.farm_config import process_names
+from flaxstep.faultbench.links import LinkFault
 from flaxstep.faultbench.records import (
     Answered,
     Asked,
@@ -79,15 +79,17 @@
     happened: list[Happened] = field(default_factory=list)
     fell: list[Fell] = field(default_factory=list)
     held: dict[int, list[Held]] = field(default_factory=lambda: defaultdict(list))
-    faults: list[tuple[Fault, Span]] = field(default_factory=list)
+    faults: list[tuple[LinkFault, Span]] = field(default_factory=list)
     away: dict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # a node did not run
     starts: dict[int, list[Happened]] = field(default_factory=lambda: defaultdict(list))
     regions: dict[str, list[int]] = field(default_factory=dict)
 
     def disturbed(self, caller: str, callee: str, start: float, end: float) -> bool:
         """Whether the link between two processes was at fault in that time."""
-        ends = [set(names(name, self.plan, self.regions)) for name in (caller, callee)]
-        return any(any(fault.on(*ends)) and span.meets(start, end) for fault, span in self.faults)
+        ends = [set(process_names(name, self.plan, self.regions)) for name in (caller, callee)]
+        return any(
+            any(fault.affected_directions(*ends)) and span.meets(start, end) for fault, span in self.faults
+        )
 
     def was_away(self, node: int, start: float, end: float) -> bool:
         """Whether a node was killed, stopped or told to end in that time, or before and not back yet."""
@@ -130,7 +132,7 @@
             continue
         running[key] = Span(line.at)
         spec = {"name": line.name, "between": [line.one, line.other], "way": line.way, "size": 1, "jitter": 0}
-        story.faults.append((Fault(spec), running[key]))
+        story.faults.append((LinkFault(spec), running[key]))
 
 
 def follow_nodes(story: Trace) -> None:
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,7 +1,7 @@
-"""A small proxy that breaks one rule on purpose, named by its argument: what the rig's judge must catch.
+"""A small proxy that breaks one rule on purpose, named by its argument, which the rig's judge must detect.
 
-It sends each request to a server drawn at random, one attempt, and answers what came. It follows discovery
-and the operators' door only as far as a breach needs it.
+It sends each request to a random server in one attempt and forwards the response. It follows discovery and
+the admin API only as far as a breach needs them.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from pathlib import Path
 from typing import Any
 
-HOLD = 2.5  # s that a lost answer is kept from its client
-FAULT = sys.argv[1]
+SILENT_HOLD_S = 2.5  # for which a response is withheld from the client
+PLANTED_FAULT = sys.argv[1]
 config = json.loads(Path(os.environ["ROUTER_CONFIG"]).read_bytes())
-chance = random.Random(config["seed"])
-listed: dict[str, dict] = {entry["instanceId"]: entry for entry in config["known"]["instances"]}
-out: set[str] = set()
-counted = 0
+rng = random.Random(config["seed"])
+list_entries: dict[str, dict] = {entry["instanceId"]: entry for entry in config["known"]["instances"]}
+cordoned: set[str] = set()
+request_count = 0
 
 
-def usable() -> list[str]:
-    left = [name for name, entry in listed.items() if entry["lifecycle"] == "active"]
-    if FAULT == "drained":
-        left = list(listed)
-    if FAULT != "cordoned":
-        left = [name for name in left if name not in out]
-    return left
+def usable_servers() -> list[str]:
+    names = [name for name, entry in list_entries.items() if entry["lifecycle"] == "active"]
+    if PLANTED_FAULT == "drained":
+        names = list(list_entries)
+    if PLANTED_FAULT != "cordoned":
+        names = [name for name in names if name not in cordoned]
+    return names
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[str, str], bytes]:
@@ -47,10 +47,10 @@
 
 
 async def forward(name: str, first: bytes, headers: dict[str, str], body: bytes, wait: bool = True) -> bytes:
-    host, port = listed[name]["hostPort"].split(":")
+    host, port = list_entries[name]["hostPort"].split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
-    kept = {k: v for k, v in headers.items() if k in ("request-id", "idempotency-key")}
-    lines = "".join(f"{k}: {v}\r\n" for k, v in kept.items())
+    forwarded_headers = {k: v for k, v in headers.items() if k in ("request-id", "idempotency-key")}
+    lines = "".join(f"{k}: {v}\r\n" for k, v in forwarded_headers.items())
     writer.write(first + b"\r\n" + lines.encode() + b"content-length: %d\r\n\r\n" % len(body) + body)
     if not wait:
         await asyncio.sleep(0.005)
@@ -64,7 +64,7 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    global counted
+    global request_count
     try:
         while True:
             first, headers, body = await read_message(reader)
@@ -72,8 +72,8 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 writer.close()
                 return
-            counted += 1
-            await answer(writer, first, headers, body, planted=counted % 10 == 5)
+            request_count += 1
+            await answer(writer, first, headers, body, planted=request_count % 10 == 5)
     except (OSError, asyncio.IncompleteReadError):
         writer.close()
 
@@ -81,67 +81,69 @@
 async def answer(
     writer: asyncio.StreamWriter, first: bytes, headers: dict[str, str], body: bytes, planted: bool
 ) -> None:
-    names = usable()
-    name = chance.choice(names)
-    if FAULT == "cold" and (cold := [n for n in names if listed[n]["startedAtMs"]]):
+    names = usable_servers()
+    name = rng.choice(names)
+    if PLANTED_FAULT == "cold" and (cold := [n for n in names if list_entries[n]["startedAtMs"]]):
         name = cold[0]
-    status, made = b"200 OK", b""
-    if planted and FAULT == "twice":
+    status, content = b"200 OK", b""
+    if planted and PLANTED_FAULT == "twice":
         await attempt(name, first, headers, body)
-        name = chance.choice([other for other in names if listed[other]["cell"] != listed[name]["cell"]])
-    elif planted and FAULT == "together":
+        name = rng.choice(
+            [other for other in names if list_entries[other]["cell"] != list_entries[name]["cell"]]
+        )
+    elif planted and PLANTED_FAULT == "together":
         await attempt(name, first, headers, body, False)
-        name = chance.choice([other for other in names if other != name])
-    elif planted and FAULT == "strange":
+        name = rng.choice([other for other in names if other != name])
+    elif planted and PLANTED_FAULT == "strange":
         headers = headers | {"request-id": "feed" + headers["request-id"][4:]}
-    if planted and FAULT == "invented":
-        made = b'{"id": "0", "server": "s-9999", "version": "v1"}'
+    if planted and PLANTED_FAULT == "invented":
+        content = b'{"id": "0", "server": "s-9999", "version": "v1"}'
     else:
-        made = await attempt(name, first, headers, body)
-    if planted and FAULT == "silent":
-        await asyncio.sleep(HOLD)
-    elif planted and FAULT == "closed":
+        content = await attempt(name, first, headers, body)
+    if planted and PLANTED_FAULT == "silent":
+        await asyncio.sleep(SILENT_HOLD_S)
+    elif planted and PLANTED_FAULT == "closed":
         await asyncio.sleep(0.05)
         writer.close()
         return
-    elif planted and FAULT == "half":
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + made[:9])
+    elif planted and PLANTED_FAULT == "half":
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + content[:9])
         await asyncio.sleep(0.05)
         writer.close()
         return
-    elif planted and FAULT == "refused":
+    elif planted and PLANTED_FAULT == "refused":
         status = b"503 Service Unavailable"
-    if not made:
+    if not content:
         status = b"502 Bad Gateway"
-    writer.write(b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(made), made))
+    writer.write(b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(content), content))
 
 
-async def door(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def serve_admin(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     first, _, body = await read_message(reader)
     if b"uncordon" in first:
-        out.discard(body.decode())
+        cordoned.discard(body.decode())
     elif b"cordon" in first:
-        out.add(body.decode())
+        cordoned.add(body.decode())
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
     writer.close()
 
 
-async def follow() -> None:
+async def follow_discovery() -> None:
     host, port = config["discovery"].split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /catalog/members?watch=1&from=1 HTTP/1.1\r\nHost: x\r\n\r\n")
     while line := await reader.readline():
         if line.startswith(b"{"):
             for entry in json.loads(line)["instances"]:
-                listed[entry["instanceId"]] = entry
+                list_entries[entry["instanceId"]] = entry
 
 
 async def main() -> None:
     host, port = config["listen"].split(":")
     await asyncio.start_server(serve, host, int(port))
     host, port = os.environ["ROUTER_ADMIN_ADDR"].split(":")
-    await asyncio.start_server(door, host, int(port))
-    await follow()
+    await asyncio.start_server(serve_admin, host, int(port))
+    await follow_discovery()
     await asyncio.sleep(60)
 
 
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -1,4 +1,4 @@
-"""Small farms on the rig for tests: a scenario, a play with what is done in it, and its story."""
+"""Small farms for tests of the rig: a scenario, a play with the steps of a test, and its judged trace."""
 
 from __future__ import annotations
 
@@ -66,13 +66,13 @@
 group = "cell"
 window_ms = 500
 """
-Acts = Callable[[Farm], Awaitable[bool | None]]  # True: the play may end with it
+Acts = Callable[[Farm], Awaitable[bool | None]]  # True: the play ends with it
 
 
 @dataclass
 class Played:
     scenario: Scenario
-    story: Trace
+    trace: Trace
     result: Result
 
     @property
@@ -81,33 +81,33 @@
 
 
 async def rig(
-    folder: Path, acts: Acts | None = None, run: str = NODE, extra: str = "", **figures: float
+    folder: Path, acts: Acts | None = None, run: str = NODE, extra: str = "", **scenario_values: float
 ) -> Played:
-    """Play a small farm; `acts` runs from the play's beginning. Whatever happens, no process is left."""
+    """Plays a small farm, with `acts` from the beginning on. No process is left, even after a failure."""
     folder.mkdir(exist_ok=True)
     path = folder / "scenario.toml"
-    path.write_text(SMALL.format(**{"seconds": 3, "nodes": 2, "load": 0.4} | figures) + extra)
+    path.write_text(SMALL.format(**{"seconds": 3, "nodes": 2, "load": 0.4} | scenario_values) + extra)
     scenario = read_scenario(path)
-    async with Farm(scenario, path, 1, folder / "play", run) as stage:
-        await stage.open()
-        await stage.begin()
-        end = stage.plan.length
-        if acts is not None and await acts(stage):
-            await stage.children["clients"].call("stop")
+    async with Farm(scenario, path, 1, folder / "play", run) as farm:
+        await farm.start_processes()
+        await farm.begin_play()
+        end = farm.plan.length
+        if acts is not None and await acts(farm):
+            await farm.children["clients"].call("stop")
             end = 0.0
-        while played(stage) < end or await stage.children["clients"].call("left"):
+        while elapsed_ms(farm) < end or await farm.children["clients"].call("left"):
             await asyncio.sleep(0.05)
-        children = [child.process.pid for child in [*stage.children.values(), *stage.leaving]]
+        children = [child.process.pid for child in [*farm.children.values(), *farm.terminating]]
     for pid in children:
         assert not Path(f"/proc/{pid}").exists()
     records = list(read_records(folder / "play"))
-    story = tell(records, stage.plan, scenario.rig.regions)
-    return Played(scenario, story, judge_play(scenario, 1, folder / "play"))
+    trace = tell(records, farm.plan, scenario.rig.regions)
+    return Played(scenario, trace, judge_play(scenario, 1, folder / "play"))
 
 
-def played(stage: Farm) -> float:
-    """ms since the play began."""
-    return stage.recorder.now()
+def elapsed_ms(farm: Farm) -> float:
+    """Milliseconds since the play began."""
+    return farm.recorder.now()
 
 
 def alive(pid: int) -> bool:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""What the rig's links do to bytes and to new connections, each fault by itself, on real sockets."""
+"""The effect of each link fault on bytes and on new connections, on real sockets."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 import pytest
 import uvloop
 
-from flaxstep.faultbench.fake_service import FaultBenchError, loopback
-from flaxstep.faultbench.farm import claim
+from flaxstep.faultbench.fake_service import FaultBenchError, require_loopback
+from flaxstep.faultbench.farm import lock_loopback_address
 from flaxstep.faultbench.links import Links
 from flaxstep.faultbench.records import Recorder, Turn, read_records
 
-WAIT = 10.0
-SOON = 0.15  # s in which what is not to come would have come
+TIMEOUT_S = 10.0
+ABSENCE_WAIT_S = 0.15  # bytes and connections that must not arrive would have arrived by then
 
 
-class Wire:
-    """A link to an echo, and what the echo has heard."""
+class LinkToEcho:
+    """A link to an echo server, and the bytes that the server received."""
 
     def __init__(self, links: Links, host: str) -> None:
-        self.links, self.host, self.heard = links, host, bytearray()
+        self.links, self.host, self.received = links, host, bytearray()
 
     async def echo(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while data := await reader.read(1 << 16):
-                self.heard += data
+                self.received += data
                 writer.write(data)
         except ConnectionError:
             pass
@@ -48,8 +48,8 @@
 
 
 @asynccontextmanager
-async def wired(folder: Path) -> AsyncIterator[Wire]:
-    held, host = claim()
+async def open_link(folder: Path) -> AsyncIterator[LinkToEcho]:
+    lock, host = lock_loopback_address()
     spec: dict[str, Any] = {
         "caller": "node:0",
         "callee": "server:0",
@@ -64,122 +64,124 @@
     loop = asyncio.get_running_loop()
     recorder = Recorder(folder / "links.jsonl", time.monotonic())
     links = Links({"seed": 1, "links": [spec], "down": []}, recorder, loop)
-    wire = Wire(links, host)
-    server = await asyncio.start_server(wire.echo, host, 3)
+    link = LinkToEcho(links, host)
+    server = await asyncio.start_server(link.echo, host, 3)
     await links.start()
     try:
-        yield wire
+        yield link
     finally:
         server.close()
         links.do_down("server:0")
         recorder.close()
-        held.close()
+        lock.close()
 
 
-async def says(reader: asyncio.StreamReader, words: bytes) -> None:
-    async with asyncio.timeout(WAIT):
-        assert await reader.readexactly(len(words)) == words
+async def expect_bytes(reader: asyncio.StreamReader, data: bytes) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
+        assert await reader.readexactly(len(data)) == data
 
 
-async def says_nothing(reader: asyncio.StreamReader) -> None:
+async def expect_no_bytes(reader: asyncio.StreamReader) -> None:
     with pytest.raises(TimeoutError):
-        async with asyncio.timeout(SOON):
+        async with asyncio.timeout(ABSENCE_WAIT_S):
             await reader.read(1)
 
 
 @pytest.mark.parametrize("way", ["there", "back", "both"])
-def test_a_silent_way_swallows_and_is_reset_when_it_heals(tmp_path: Path, way: str) -> None:
+def test_a_silent_direction_drops_bytes_and_is_reset_when_it_heals(tmp_path: Path, way: str) -> None:
     async def test() -> None:
-        async with wired(tmp_path) as wire:
-            reader, writer = await wire.connect()
+        async with open_link(tmp_path) as link:
+            reader, writer = await link.connect()
             writer.write(b"one")
-            await says(reader, b"one")
-            wire.fault("silent", way=way)
+            await expect_bytes(reader, b"one")
+            link.fault("silent", way=way)
             writer.write(b"two")
-            await says_nothing(reader)
-            assert (b"two" in wire.heard) is (way == "back")  # one way only: the other goes on
-            with pytest.raises(TimeoutError):  # a new connection never comes up
-                async with asyncio.timeout(SOON):
-                    await wire.connect()
-            wire.heal()
+            await expect_no_bytes(reader)
+            assert (b"two" in link.received) is (way == "back")  # only the other direction is unaffected
+            with pytest.raises(TimeoutError):  # a new connection is never established
+                async with asyncio.timeout(ABSENCE_WAIT_S):
+                    await link.connect()
+            link.heal()
             with pytest.raises(ConnectionError):
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(TIMEOUT_S):
                     await reader.readexactly(1)
-            reader, writer = await wire.connect()
+            reader, writer = await link.connect()
             writer.write(b"three")
-            await says(reader, b"three")
+            await expect_bytes(reader, b"three")
 
     uvloop.run(test())
 
 
-def test_a_silent_way_also_swallows_an_end(tmp_path: Path) -> None:
+def test_a_silent_direction_also_drops_a_close(tmp_path: Path) -> None:
     async def test() -> None:
-        async with wired(tmp_path) as wire:
-            reader, writer = await wire.connect()
+        async with open_link(tmp_path) as link:
+            reader, writer = await link.connect()
             writer.write(b"one")
-            await says(reader, b"one")
-            wire.fault("silent", way="there")
+            await expect_bytes(reader, b"one")
+            link.fault("silent", way="there")
             writer.close()
-            await asyncio.sleep(SOON)
-            [pair] = wire.links.links[0].pairs
-            assert pair.callee.transport is not None and not pair.callee.transport.is_closing()
-            wire.heal()
-            await asyncio.sleep(SOON)
-            assert not wire.links.links[0].pairs
+            await asyncio.sleep(ABSENCE_WAIT_S)
+            [connection] = link.links.links[0].connections
+            assert connection.callee.transport is not None and not connection.callee.transport.is_closing()
+            link.heal()
+            await asyncio.sleep(ABSENCE_WAIT_S)
+            assert not link.links.links[0].connections
 
     uvloop.run(test())
 
 
-def test_delay_and_rate_take_the_time_that_they_say_and_keep_the_order(tmp_path: Path) -> None:
+def test_delay_and_rate_take_their_time_and_keep_the_order_of_bytes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with wired(tmp_path) as wire:
-            reader, writer = await wire.connect()
-            for name, size, least in (("delay", 60.0, 0.12), ("rate", 200_000.0, 0.25)):
-                wire.fault(name, size)
-                begun = time.monotonic()
-                words = bytes(i % 251 for i in range(50_000))
-                for i in range(0, len(words), 5000):
-                    writer.write(words[i : i + 5000])
-                await says(reader, words)
-                assert time.monotonic() - begun >= least  # there and back, or 50,000 bytes at that rate
-                wire.heal()
+        async with open_link(tmp_path) as link:
+            reader, writer = await link.connect()
+            for name, size, min_elapsed_s in (("delay", 60.0, 0.12), ("rate", 200_000.0, 0.25)):
+                link.fault(name, size)
+                started_at = time.monotonic()
+                data = bytes(i % 251 for i in range(50_000))
+                for i in range(0, len(data), 5000):
+                    writer.write(data[i : i + 5000])
+                await expect_bytes(reader, data)
+                assert (
+                    time.monotonic() - started_at >= min_elapsed_s
+                )  # both directions, or 50,000 bytes at that rate
+                link.heal()
 
     uvloop.run(test())
 
 
-def test_reset_and_refuse_and_a_callee_that_is_gone(tmp_path: Path) -> None:
+def test_reset_refuse_and_a_callee_that_is_down(tmp_path: Path) -> None:
     async def test() -> None:
-        async with wired(tmp_path) as wire:
-            reader, writer = await wire.connect()
+        async with open_link(tmp_path) as link:
+            reader, writer = await link.connect()
             writer.write(b"one")
-            await says(reader, b"one")
-            wire.fault("reset")
+            await expect_bytes(reader, b"one")
+            link.fault("reset")
             with pytest.raises(ConnectionError):
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(TIMEOUT_S):
                     await reader.readexactly(1)
-            wire.heal()
-            wire.fault("refuse")
+            link.heal()
+            link.fault("refuse")
             with pytest.raises(ConnectionRefusedError):
-                await wire.connect()
-            wire.heal()
-            wire.links.do_down("server:0")
+                await link.connect()
+            link.heal()
+            link.links.do_down("server:0")
             with pytest.raises(ConnectionRefusedError):
-                await wire.connect()
-            wire.links.do_up("server:0")
-            await wire.connect()
+                await link.connect()
+            link.links.do_up("server:0")
+            await link.connect()
 
     uvloop.run(test())
 
 
-def test_each_turn_is_written_down_by_its_bytes(tmp_path: Path) -> None:
+def test_each_turn_is_recorded_with_the_times_of_its_bytes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with wired(tmp_path) as wire:
-            reader, writer = await wire.connect()
-            for words in (b"one", b"two"):
-                writer.write(words)
-                await says(reader, words)
+        async with open_link(tmp_path) as link:
+            reader, writer = await link.connect()
+            for data in (b"one", b"two"):
+                writer.write(data)
+                await expect_bytes(reader, data)
             writer.close()
-            await asyncio.sleep(SOON)
+            await asyncio.sleep(ABSENCE_WAIT_S)
 
     uvloop.run(test())
     turns = [record for record in read_records(tmp_path) if isinstance(record, Turn)]
@@ -188,6 +190,6 @@
 
 
 @pytest.mark.parametrize("host", ["192.0.2.1", "localhost", "0.0.0.0", "::1", "128.0.0.1"])
-def test_no_target_but_loopback(host: str) -> None:
+def test_addresses_other_than_loopback_are_rejected(host: str) -> None:
     with pytest.raises(FaultBenchError, match="loopback"):
-        loopback(host)
+        require_loopback(host)
--- a/tests/test_release_rig.py
+++ b/tests/test_release_rig.py
@@ -15,7 +15,7 @@
 
 from flaxstep.faultbench.child_process import ChildProcess
 from flaxstep.faultbench.farm import Farm
-from flaxstep.faultbench.operators import OperatorCommands, run_controller
+from flaxstep.faultbench.operators import OperatorCommands, start_controller
 from flaxstep.rollout.actions import MemberState, Phase
 from flaxstep.rollout.farm import read_farm
 from flaxstep.rollout.io.store import LEASE, Kept, Store
@@ -74,42 +74,42 @@
 class Live:
     """A farm under load with a release under way."""
 
-    def __init__(self, stage: Farm, case: Case) -> None:
-        self.stage, self.staff = stage, OperatorCommands(stage)
+    def __init__(self, farm: Farm, case: Case) -> None:
+        self.farm, self.staff = farm, OperatorCommands(farm)
         self.controllers = 0
         time_limit, ready = case.limits
         text = PLAN.format(to=case.to, what=case.what, wait=case.wait, time_limit=time_limit, ready=ready)
-        text += self.staff.commands(case.what)
-        self.plan = stage.folder / "plan.toml"
+        text += self.staff.command_table(case.what)
+        self.plan = farm.folder / "plan.toml"
         self.plan.write_text(text)
-        self.farm = self.staff.farm_file()
+        self.farm_file = self.staff.write_farm_file()
 
     async def control(self) -> ChildProcess:
         """Start a controller."""
         self.controllers += 1
-        log = self.stage.folder / f"controller-{self.controllers}.log"
-        self.controller = await run_controller(self.stage, self.plan, self.farm, log)
+        log = self.farm.folder / f"controller-{self.controllers}.log"
+        self.controller = await start_controller(self.farm, self.plan, self.farm_file, log)
         return self.controller
 
     async def call(self, *words: str) -> tuple[int, str]:
         """A command of staff."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "flaxstep", "release", *words, "--farm", str(self.farm),
+            sys.executable, "-B", "-m", "flaxstep", "release", *words, "--farm", str(self.farm_file),
             cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
         )  # fmt: skip
         out, _ = await process.communicate()
         return process.returncode or 0, out.decode()
 
     async def kill_and_go_on(self) -> None:
-        await self.controller.end()
-        store = Store(Path(read_farm(self.farm).state))
+        await self.controller.kill()
+        store = Store(Path(read_farm(self.farm_file).state))
         store.db.execute("UPDATE claim SET renewed = 0")  # as if its lease had run out
         store.close()
         await self.control()
 
     def kept(self) -> Kept | None:
         """The release as the state file has it."""
-        store = Store(Path(read_farm(self.farm).state))
+        store = Store(Path(read_farm(self.farm_file).state))
         kept = store.newest()
         store.close()
         return kept
@@ -130,13 +130,13 @@
 
     async def called(self, do: str, count: int = 1) -> None:
         """Until commands have made so many calls of a kind."""
-        await self.until(lambda: sum(call[0] == do for call in self.staff.done) >= count)
+        await self.until(lambda: sum(call[0] == do for call in self.staff.received_calls) >= count)
 
     async def fault(self, name: str, *between: str) -> dict[str, object]:
         spec: dict[str, object] = {
             "name": name, "between": list(between), "way": "both", "size": 1.0, "jitter": 0.0,
         }  # fmt: skip
-        await self.stage.fault(1, spec)
+        await self.farm.fault(1, spec)
         return spec
 
 
@@ -160,9 +160,9 @@
     """Play a release to its end under load; all is judged."""
     found: list[Done] = []
 
-    async def act(stage: Farm) -> bool:
-        live = Live(stage, case)
-        await live.staff.open()
+    async def act(farm: Farm) -> bool:
+        live = Live(farm, case)
+        await live.staff.start()
         try:
             await live.control()
             if case.acts is not None:
@@ -171,11 +171,11 @@
                 code = await live.controller.process.wait()
         finally:
             live.staff.close()
-        live.staff.note_calls()
+        live.staff.record_cordons()
         kept = live.kept()
         assert kept is not None
-        versions = [stage.versions[server] for server in sorted(stage.versions)]
-        found.append(Done(code, kept.release, kept.members, versions, live.staff.done, None))  # type: ignore[arg-type]
+        versions = [farm.versions[server] for server in sorted(farm.versions)]
+        found.append(Done(code, kept.release, kept.members, versions, live.staff.received_calls, None))  # type: ignore[arg-type]
         return True
 
     play = await rig(folder, act, seconds=120, nodes=3, load=case.load, extra=VERSIONS + case.extra)
@@ -202,34 +202,34 @@
     await live.stands(lambda kept: kept.release.measured > 1.0)
     spec = await live.fault("refuse", "controller", "node:1")
     await live.stands(lambda kept: "n1 does not answer" in kept.release.waiting)
-    await live.stage.heal(1, spec)
+    await live.farm.heal(1, spec)
 
 
 async def cut_zone(live: Live) -> None:
     await live.called("restart")
     spec = await live.fault("silent", "controller", "zone:1")
     await live.stands(lambda kept: "does not answer" in kept.release.waiting)
-    await live.stage.heal(1, spec)
+    await live.farm.heal(1, spec)
 
 
 async def cut_zone_for_good(live: Live) -> None:
     await live.called("restart")
     spec = await live.fault("silent", "controller", "zone:1")
     await live.stands(lambda kept: kept.release.state is State.GAVE_UP)
-    await live.stage.heal(1, spec)
+    await live.farm.heal(1, spec)
 
 
 async def hang(live: Live) -> None:
-    live.staff.hang = {("restart", f"s-{n:04d}", "hung") for n in range(6)}
+    live.staff.unanswered = {("restart", f"s-{n:04d}", "hung") for n in range(6)}
 
 
 async def hang_on_the_way_back(live: Live) -> None:
-    live.staff.hang = {("restart", f"s-{n:04d}", "v1") for n in range(6)}
+    live.staff.unanswered = {("restart", f"s-{n:04d}", "v1") for n in range(6)}
 
 
 async def server_leaves(live: Live) -> None:
     await live.called("restart")
-    await live.stage.announce(5, "left", 0.0)
+    await live.farm.announce(5, "left", 0.0)
 
 
 async def staff_at_work(live: Live) -> None:
@@ -253,7 +253,7 @@
     await live.called("restart")
     second = await live.control()
     assert await second.process.wait() == 2
-    assert "acts on this farm" in (live.stage.folder / "controller-2.log").read_text()
+    assert "acts on this farm" in (live.farm.folder / "controller-2.log").read_text()
     live.controller = first
 
 
@@ -264,10 +264,10 @@
     first.send(signal.SIGSTOP)
     await asyncio.sleep(LEASE + 0.5)
     second = await live.control()
-    await live.until(lambda: "wave" in (live.stage.folder / "controller-2.log").read_text())
+    await live.until(lambda: "wave" in (live.farm.folder / "controller-2.log").read_text())
     first.send(signal.SIGCONT)
     assert await first.process.wait() == 2
-    assert "has taken this farm over" in (live.stage.folder / "controller-1.log").read_text()
+    assert "has taken this farm over" in (live.farm.folder / "controller-1.log").read_text()
     live.controller = second
 
 
@@ -291,17 +291,17 @@
 
 def other_node(to_before: bool) -> Acts:
     async def acts(live: Live) -> None:
-        before = previous_node(live.stage.folder / "before")
-        live.staff.runs = {"v2": before if to_before else NODE, "v1": NODE if to_before else before}
-        await live.stage.cordon(4)
+        before = previous_node(live.farm.folder / "before")
+        live.staff.node_commands = {"v2": before if to_before else NODE, "v1": NODE if to_before else before}
+        await live.farm.cordon(4)
         await live.called("stop", 3)
-        await live.stage.uncordon(4)
+        await live.farm.uncordon(4)
 
     return acts
 
 
 async def dead_node(live: Live) -> None:
-    live.staff.runs = {"v2": "exec sleep 60"}
+    live.staff.node_commands = {"v2": "exec sleep 60"}
 
 
 @dataclass(frozen=True)
--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -17,16 +17,16 @@
 from tests.rigs import ROOT, Played, rig
 
 
-async def drain(stage: Farm) -> None:
-    await stage.leave_server(0, late_s=0.0)
+async def drain(farm: Farm) -> None:
+    await farm.leave_server(0, late_s=0.0)
 
 
-async def cordon(stage: Farm) -> None:
-    await stage.cordon(0)
+async def cordon(farm: Farm) -> None:
+    await farm.cordon(0)
 
 
-async def restart(stage: Farm) -> None:
-    await stage.restart_server(0, down_s=0.1)
+async def restart(farm: Farm) -> None:
+    await farm.restart_server(0, down_s=0.1)
 
 
 PLANTED = {
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from flaxstep.cli_faultbench import NOT_RUN_PART, folder_for, run_soak
-from flaxstep.faultbench.farm import build
+from flaxstep.faultbench.farm import build_node
 from flaxstep.faultbench.records import Asked, Began, Happened, Record, Recorder, Told
 from flaxstep.faultbench.rule_checks import Breach, told_out
 from flaxstep.faultbench.soak.runner import SoakOutcome
@@ -107,7 +107,7 @@
 
 
 def test_a_short_soak_breaks_no_rule(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    build()
+    build_node()
     outcomes = asyncio.run(run_soak(2, list(range(PLAYS)), SECONDS, 2, tmp_path))
     told = capsys.readouterr().out
     assert len(outcomes) == PLAYS
