--- a/flaxstep/faultbench/clients.py
+++ b/flaxstep/faultbench/clients.py
@@ -22,7 +22,7 @@
 
 AFTER_DUE = 0.8  # s for which a connection is still read when its try's time is over
 IDLE = 1.5  # s after which a client's idle connection is not used again
-CROSSED = 20.0  # ms: an end that comes so soon on a used connection has crossed the request
+CROSSED_CLOSE_MS = 20.0  # ms: an end that comes so soon on a used connection has crossed the request
 PIECES = 0.25  # s between the pieces of a slow body
 METHODS = {"safe": b"GET", "keyed": b"POST", "unsafe": b"POST"}
 
@@ -145,7 +145,12 @@
             return -1
         except OSError:
             return 0
-        if status == 0 and not fresh and self.recorder.now() - written < CROSSED and not connection.got:
+        if (
+            status == 0
+            and not fresh
+            and self.recorder.now() - written < CROSSED_CLOSE_MS
+            and not connection.got
+        ):
             one.crossings += 1
             one.id = f"{one.id[:-2]}{one.crossings:02x}"
             return -2
--- a/flaxstep/faultbench/result.py
+++ b/flaxstep/faultbench/result.py
@@ -9,9 +9,9 @@
 import numpy as np
 
 from flaxstep.faultbench.records import read_records
-from flaxstep.faultbench.rule_checks import Breach, breaches
+from flaxstep.faultbench.rule_checks import Breach
 from flaxstep.faultbench.schedule import Schedule
-from flaxstep.faultbench.trace import Trace, TryTrace, tell
+from flaxstep.faultbench.trace import Trace, TryTrace, build_trace
 from flaxstep.simulator.sampling import Plan, draw_plan
 from flaxstep.simulator.scenario import Scenario
 from flaxstep.simulator.scoring import Scorer, Verdict
@@ -78,8 +78,8 @@
 class Ledger:
     """Counts one story."""
 
-    def __init__(self, scenario: Scenario, plan: Plan, story: Trace) -> None:
-        self.scenario, self.plan, self.story = scenario, plan, story
+    def __init__(self, scenario: Scenario, plan: Plan, trace: Trace) -> None:
+        self.scenario, self.plan, self.trace = scenario, plan, trace
         self.seconds = int(plan.length / 1000) + 1
         self.judge = Scorer(scenario, self.seconds)
         n = len(scenario.classes)
@@ -124,13 +124,13 @@
     def count(self) -> None:
         tries = self.plan.tries
         served: set[int] = set()
-        for one in sorted(self.story.tries.values(), key=lambda one: one.asked.at):
+        for one in sorted(self.trace.tries.values(), key=lambda one: one.sent.at):
             self.judge.tries += 1
             self.count_attempts(one)
-            if one.asked.number == 0 and not one.asked.id[-2:].strip("0"):
-                self.written_late.append(one.asked.at - tries.at[one.asked.first])
+            if one.sent.number == 0 and not one.sent.id[-2:].strip("0"):
+                self.written_late.append(one.sent.at - tries.at[one.sent.first])
             if self.count_answer(one):
-                served.add(one.asked.first)
+                served.add(one.sent.first)
         for first, cls in enumerate(tries.cls):
             if first not in served:
                 self.outcomes.unserved[cls] += 1
@@ -141,11 +141,11 @@
         bill, zones = self.judge.bill, self.plan.node_zones
         for attempt in one.attempts:
             bill.attempts += 1
-            bill.across += zones[attempt.node] != self.plan.servers[attempt.began.server].zone
+            bill.across += zones[attempt.node] != self.plan.servers[attempt.arrival.server].zone
 
     def count_answer(self, one: TryTrace) -> bool:
         """Book what a try came to; whether its client was served."""
-        asked, answered = one.asked, one.answered
+        asked, answered = one.sent, one.response
         wanted, first = self.scenario.classes[asked.cls], asked.first
         if answered is None:
             return False
@@ -165,7 +165,7 @@
         return False
 
     def serve(self, one: TryTrace, took: float) -> bool:
-        asked = one.asked
+        asked = one.sent
         wanted, first = self.scenario.classes[asked.cls], asked.first
         in_time = took <= wanted.aim_ms
         part = 1.0 if in_time else wanted.late_worth if took <= wanted.deadline_ms else 0.0
@@ -186,7 +186,7 @@
         self.slowed: set[int] = set()
         for second in self.by_second:
             second.held = [-1.0] * len(self.plan.servers)
-        for server, samples in self.story.held.items():
+        for server, samples in self.trace.load_samples.items():
             last_done = last_useful = 0.0
             counts: dict[int, list[int]] = {}
             for sample in samples:
@@ -213,9 +213,9 @@
 def judge_play(scenario: Scenario, seed: int, folder: Path) -> Result:
     """The result of the records in a folder."""
     plan = draw_plan(scenario, seed)
-    story = tell(read_records(folder), plan, scenario.rig.regions)
-    ledger = Ledger(scenario, plan, story)
-    broken = breaches(story, scenario)
+    trace = build_trace(read_records(folder), plan, scenario.rig.regions)
+    ledger = Ledger(scenario, plan, trace)
+    broken = find_breaches(trace, scenario)
     ledger.judge.broken = len(broken)
     verdict = ledger.judge.verdict(ledger.useful, ledger.done, len(ledger.slowed) / len(plan.servers))
     length = plan.length / 1000
@@ -246,7 +246,7 @@
         breaches=broken[:KEPT],
         broken=len(broken),
         slowed=len(ledger.slowed),
-        fell=len(story.fell),
+        fell=len(trace.overload_failures),
     )
 
 
--- a/flaxstep/faultbench/rule_checks.py
+++ b/flaxstep/faultbench/rule_checks.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from flaxstep.faultbench.clients import CROSSED
+from flaxstep.faultbench.clients import CROSSED_CLOSE_MS
 from flaxstep.faultbench.farm_config import server_id
 from flaxstep.faultbench.trace import FOREVER, Attempt, Trace, TryTrace
 from flaxstep.simulator.scenario import Class, Rules, Scenario
 
-SLACK = 50.0  # ms by which each limit is longer on sockets
-LATE = 500.0  # ms after its time in which an answer earns nothing, and is not lost yet
-NEWS = 6000.0  # ms after which news counts as told that may not have arrived
-CALL = 1000.0  # ms after a call by staff from which it holds, with no answer too
-MADE_UP = "served with what no job server made for it"  # nothing that the rig does excuses that
-TOGETHER = 20.0  # ms that one process may see two things in the wrong order
+SOCKET_SLACK_MS = 50.0  # ms by which each limit is longer on sockets
+LOST_AFTER_DUE_MS = 500.0  # ms after its time in which an answer earns nothing, and is not lost yet
+UPDATE_ASSUMED_AFTER_MS = 6000.0  # ms after which news counts as told that may not have arrived
+ADMIN_CALL_MS = 1000.0  # ms after a call by staff from which it holds, with no answer too
+FABRICATED_BODY = "served with what no job server made for it"  # nothing that the rig does excuses that
+ORDER_TOLERANCE_MS = 20.0  # ms that one process may see two things in the wrong order
 
 
 class Breach(msgspec.Struct, frozen=True):
@@ -38,178 +38,204 @@
 Check = Callable[[Trace, Scenario], Iterator[Breach]]
 
 
-def lost(story: Trace, scenario: Scenario) -> Iterator[Breach]:
+def find_lost_requests(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Every request that a running node has taken gets one final answer in time."""
-    for one in story.tries.values():
-        asked, answered = one.asked, one.answered
-        if answered is None:
+    for try_trace in trace.tries.values():
+        sent, response = try_trace.sent, try_trace.response
+        if response is None:
             continue
-        last = asked.due + LATE + SLACK + scenario.rules.answer_slack_ms
+        latest = sent.due + LOST_AFTER_DUE_MS + SOCKET_SLACK_MS + scenario.rules.answer_slack_ms
         what = ""
-        if answered.status > 0 and answered.at > last:
-            what = f"answered {answered.at - asked.due:.0f} ms after its time"
-        elif answered.status == 200 and not answered.whole:
-            what = MADE_UP
-        elif answered.status == -1 and answered.at > last:
+        if response.status > 0 and response.at > latest:
+            what = f"answered {response.at - sent.due:.0f} ms after its time"
+        elif response.status == 200 and not response.whole:
+            what = FABRICATED_BODY
+        elif response.status == -1 and response.at > latest:
             what = "never answered"
-        elif answered.status == 0:
-            what = ended_unanswered(one)
-        if what and what != MADE_UP and excused(story, one, max(answered.at, last)):
+        elif response.status == 0:
+            what = describe_closed_connection(try_trace)
+        if what and what != FABRICATED_BODY and is_excused(trace, try_trace, max(response.at, latest)):
             continue
         if what:
-            yield Breach("lost request", answered.at, one.node, asked.id, -1, what)
+            yield Breach("lost request", response.at, try_trace.node, sent.id, -1, what)
 
 
-def ended_unanswered(one: TryTrace) -> str:
+def describe_closed_connection(try_trace: TryTrace) -> str:
     """Why a connection that ended lost its request; nothing where it did not."""
-    asked, answered = one.asked, one.answered
-    assert answered is not None
-    if answered.bytes:
-        given = any(attempt.result == "ok" for attempt in one.attempts)
-        return f"its answer broke off after {answered.bytes} bytes" if given else ""
-    if asked.fresh or answered.at - asked.at < CROSSED:
+    sent, response = try_trace.sent, try_trace.response
+    assert response is not None
+    if response.bytes:
+        served = any(attempt.result == "ok" for attempt in try_trace.attempts)
+        return f"its answer broke off after {response.bytes} bytes" if served else ""
+    if sent.fresh or response.at - sent.at < CROSSED_CLOSE_MS:
         return ""  # failed, or an end that crossed the request
     return "its connection ended without an answer"
 
 
-def excused(story: Trace, one: TryTrace, until: float) -> bool:
+def is_excused(trace: Trace, try_trace: TryTrace, until: float) -> bool:
     """Whether its node did not run all the time, or could not reach the client."""
-    if one.node < 0:
+    if try_trace.node < 0:
         return True
-    start = one.asked.at
-    return story.was_away(one.node, start, until) or story.disturbed(
-        "front", f"node:{one.node}", start, until
+    start = try_trace.sent.at
+    return trace.node_was_down(try_trace.node, start, until) or trace.link_was_disturbed(
+        "front", f"node:{try_trace.node}", start, until
     )
 
 
-def alike(story: Trace, wanted: Class, one: int, other: int) -> bool:
+def repeat_is_dropped(trace: Trace, request_class: Class, first_server: int, second_server: int) -> bool:
     """Whether a repeat at the other server is dropped by the first one's group."""
-    a, b = story.plan.servers[one], story.plan.servers[other]
-    if wanted.group == "cell":
-        return a.cell == b.cell
-    return wanted.group == "all" or a.zone == b.zone
+    first, second = trace.plan.servers[first_server], trace.plan.servers[second_server]
+    if request_class.group == "cell":
+        return first.cell == second.cell
+    return request_class.group == "all" or first.zone == second.zone
 
 
-def duplicates(story: Trace, scenario: Scenario) -> Iterator[Breach]:
+def find_duplicates(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Nothing that may have run is repeated beyond its class, refused, or made up."""
-    for attempt in story.strangers:
-        yield breach("duplicate", attempt, "a request that no client sent")
-    for one in story.tries.values():
-        wanted = scenario.classes[one.asked.cls]
-        if wanted.effect == "safe":
+    for attempt in trace.unmatched_attempts:
+        yield attempt_breach("duplicate", attempt, "a request that no client sent")
+    for try_trace in trace.tries.values():
+        request_class = scenario.classes[try_trace.sent.cls]
+        if request_class.effect == "safe":
             continue
-        ran: list[Attempt] = []
-        for attempt in one.attempts:
-            for before in ran:
-                since = attempt.first - before.first
-                if wanted.effect == "unsafe":
-                    yield breach("duplicate", attempt, f"{wanted.name} ran at server {before.began.server}")
-                elif since >= wanted.window_ms + SLACK:
-                    yield breach("duplicate", attempt, f"{wanted.name} again after {since:.0f} ms")
-                elif not alike(story, wanted, before.began.server, attempt.began.server):
-                    yield breach("duplicate", attempt, f"{wanted.name} again in another group")
+        executed: list[Attempt] = []
+        for attempt in try_trace.attempts:
+            for earlier in executed:
+                elapsed_ms = attempt.started_at - earlier.started_at
+                if request_class.effect == "unsafe":
+                    yield attempt_breach(
+                        "duplicate", attempt, f"{request_class.name} ran at server {earlier.arrival.server}"
+                    )
+                elif elapsed_ms >= request_class.window_ms + SOCKET_SLACK_MS:
+                    yield attempt_breach(
+                        "duplicate", attempt, f"{request_class.name} again after {elapsed_ms:.0f} ms"
+                    )
+                elif not repeat_is_dropped(
+                    trace, request_class, earlier.arrival.server, attempt.arrival.server
+                ):
+                    yield attempt_breach("duplicate", attempt, f"{request_class.name} again in another group")
                 else:
                     continue
                 break
-            if attempt.ran:
-                ran.append(attempt)
-        harmless = wanted.effect == "keyed" and wanted.group == "all"
-        answered = one.answered
-        if answered is None or answered.status not in (429, 503) or harmless:
+            if attempt.was_executed:
+                executed.append(attempt)
+        repeat_is_harmless = request_class.effect == "keyed" and request_class.group == "all"
+        response = try_trace.response
+        if response is None or response.status not in (429, 503) or repeat_is_harmless:
             continue
-        if ran and ran[0].began.at < answered.at:
-            yield breach("duplicate", ran[0], "refused though it has run")
+        if executed and executed[0].arrival.at < response.at:
+            yield attempt_breach("duplicate", executed[0], "refused though it has run")
 
 
-def together(story: Trace, scenario: Scenario) -> Iterator[Breach]:
+def find_excess_attempts(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
     """One attempt out at a time, and no more than allowed."""
-    for one in story.tries.values():
-        for before, attempt in zip(one.attempts, one.attempts[1:], strict=False):
-            if attempt.first < before.ended - TOGETHER:
-                out = (
-                    "to the end" if before.ended == FOREVER else f"{before.ended - attempt.first:.0f} ms more"
+    for try_trace in trace.tries.values():
+        for earlier, attempt in zip(try_trace.attempts, try_trace.attempts[1:], strict=False):
+            if attempt.started_at < earlier.ended_at - ORDER_TOLERANCE_MS:
+                remaining = (
+                    "to the end"
+                    if earlier.ended_at == FOREVER
+                    else f"{earlier.ended_at - attempt.started_at:.0f} ms more"
                 )
-                yield breach("two at once", attempt, f"one was out at server {before.began.server}, {out}")
-        if len(one.attempts) > scenario.rules.max_attempts:
-            last = one.attempts[scenario.rules.max_attempts]
-            yield breach("attempts", last, f"{len(one.attempts)} attempts")
+                yield attempt_breach(
+                    "two at once", attempt, f"one was out at server {earlier.arrival.server}, {remaining}"
+                )
+        if len(try_trace.attempts) > scenario.rules.max_attempts:
+            first_excess = try_trace.attempts[scenario.rules.max_attempts]
+            yield attempt_breach("attempts", first_excess, f"{len(try_trace.attempts)} attempts")
 
 
-def drained(story: Trace, scenario: Scenario) -> Iterator[Breach]:
+def find_drain_breaches(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Nothing new to a server that drains or is gone, once the node was told and the grace is over."""
-    for attempt in attempts(story):
-        out_since = told_out(story, attempt, scenario.rules)
-        if attempt.first > out_since:
-            late = attempt.first - out_since
-            yield breach("drain", attempt, f"{late:.0f} ms past the grace")
+    for attempt in all_attempts(trace):
+        enforced_from = drain_enforced_from(trace, attempt, scenario.rules)
+        if attempt.started_at > enforced_from:
+            late_ms = attempt.started_at - enforced_from
+            yield attempt_breach("drain", attempt, f"{late_ms:.0f} ms past the grace")
 
 
-def told_out(story: Trace, attempt: Attempt, rules: Rules) -> float:
+def drain_enforced_from(trace: Trace, attempt: Attempt, rules: Rules) -> float:
     """From when on the node's news forbade this attempt; never, if it did not."""
-    started = [line.at for line in story.starts[attempt.node] if line.at <= attempt.first]
-    out_since, server = FOREVER, attempt.began.server
-    written = 0  # the newest version that was
-    for told in story.told[attempt.node]:
-        if told.at > attempt.first or (started and told.at < started[-1]):
+    started = [event.at for event in trace.node_starts[attempt.node] if event.at <= attempt.started_at]
+    enforced_from, server = FOREVER, attempt.arrival.server
+    newest_written = 0  # the newest version that was
+    for update in trace.list_updates[attempt.node]:
+        if update.at > attempt.started_at or (started and update.at < started[-1]):
             continue
-        if told.assumed and told.version <= written:
+        if update.assumed and update.version <= newest_written:
             continue  # it has come meanwhile
-        if not told.assumed:
-            written = max(written, told.version)
-        state = told.entries.get(server, "left" if told.whole else "")
+        if not update.assumed:
+            newest_written = max(newest_written, update.version)
+        state = update.entries.get(server, "left" if update.whole else "")
         if state == "active":
-            out_since = FOREVER
-        elif state and out_since == FOREVER:
-            heard = told.assumed or not story.disturbed(
-                f"node:{attempt.node}", "discovery", told.at - 1, told.at + SLACK
+            enforced_from = FOREVER
+        elif state and enforced_from == FOREVER:
+            received = update.assumed or not trace.link_was_disturbed(
+                f"node:{attempt.node}", "discovery", update.at - 1, update.at + SOCKET_SLACK_MS
+            )
+            enforced_from = (
+                update.at
+                + (0.0 if received else UPDATE_ASSUMED_AFTER_MS)
+                + rules.drain_grace_ms
+                + SOCKET_SLACK_MS
             )
-            out_since = told.at + (0.0 if heard else NEWS) + rules.drain_grace_ms + SLACK
-    return out_since
+    return enforced_from
 
 
-def cordoned(story: Trace, scenario: Scenario) -> Iterator[Breach]:
+def find_cordon_breaches(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
     """Nothing new to a server that staff have taken out, from the node's yes until they call it back."""
-    out: dict[tuple[int, str], list[tuple[float, float]]] = {}
-    for line in story.happened:
-        kind, _, number = line.whom.partition(":")
+    cordons: dict[tuple[int, str], list[tuple[float, float]]] = {}
+    for event in trace.events:
+        kind, _, number = event.whom.partition(":")
         if kind != "node":
             continue
-        spans = out.setdefault((int(number), line.note), [])
-        if line.what == "cordon yes" and (not spans or spans[-1][1] < FOREVER):
-            spans.append((line.at, FOREVER))
-        elif line.what in ("uncordon yes", "uncordon no") and spans:
-            spans[-1] = (spans[-1][0], min(spans[-1][1], line.at - CALL))
-        elif line.what == "started" and line.note == "empty folder":
-            for (node, _), theirs in out.items():
-                if node == int(number) and theirs:
-                    theirs[-1] = (theirs[-1][0], min(theirs[-1][1], line.at))
-    for attempt in attempts(story):
-        for start, end in out.get((attempt.node, server_id(attempt.began.server)), ()):
-            if start + SLACK < attempt.first < end:
-                yield breach("cordon", attempt, f"{attempt.first - start:.0f} ms after the node's yes")
-
-
-def pushed_over(story: Trace, scenario: Scenario) -> Iterator[Breach]:
+        spans = cordons.setdefault((int(number), event.note), [])
+        if event.what == "cordon yes" and (not spans or spans[-1][1] < FOREVER):
+            spans.append((event.at, FOREVER))
+        elif event.what in ("uncordon yes", "uncordon no") and spans:
+            spans[-1] = (spans[-1][0], min(spans[-1][1], event.at - ADMIN_CALL_MS))
+        elif event.what == "started" and event.note == "empty folder":
+            for (node, _), node_spans in cordons.items():
+                if node == int(number) and node_spans:
+                    node_spans[-1] = (node_spans[-1][0], min(node_spans[-1][1], event.at))
+    for attempt in all_attempts(trace):
+        for start, end in cordons.get((attempt.node, server_id(attempt.arrival.server)), ()):
+            if start + SOCKET_SLACK_MS < attempt.started_at < end:
+                yield attempt_breach(
+                    "cordon", attempt, f"{attempt.started_at - start:.0f} ms after the node's yes"
+                )
+
+
+def find_overloaded_cold_servers(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
     """No cold server is sent more than it can bear."""
-    for fell in story.fell:
-        yield Breach("cold server", fell.at, -1, "", fell.server, "sent more than it can bear, it fell over")
+    for failure in trace.overload_failures:
+        yield Breach(
+            "cold server", failure.at, -1, "", failure.server, "sent more than it can bear, it fell over"
+        )
 
 
-def attempts(story: Trace) -> Iterator[Attempt]:
-    for one in story.tries.values():
-        yield from one.attempts
-    yield from story.strangers
+def all_attempts(trace: Trace) -> Iterator[Attempt]:
+    for try_trace in trace.tries.values():
+        yield from try_trace.attempts
+    yield from trace.unmatched_attempts
 
 
-def breach(rule: str, attempt: Attempt, what: str) -> Breach:
-    began = attempt.began
-    return Breach(rule, round(attempt.first, 3), attempt.node, began.id, began.server, what)
+def attempt_breach(rule: str, attempt: Attempt, what: str) -> Breach:
+    arrival = attempt.arrival
+    return Breach(rule, round(attempt.started_at, 3), attempt.node, arrival.id, arrival.server, what)
 
 
-CHECKS: tuple[Check, ...] = (lost, duplicates, together, drained, cordoned, pushed_over)
+CHECKS: tuple[Check, ...] = (
+    find_lost_requests,
+    find_duplicates,
+    find_excess_attempts,
+    find_drain_breaches,
+    find_cordon_breaches,
+    find_overloaded_cold_servers,
+)
 
 
-def breaches(story: Trace, scenario: Scenario) -> list[Breach]:
+def find_breaches(trace: Trace, scenario: Scenario) -> list[Breach]:
     """All breaches of a play, in order of time."""
-    found = [breach for check in CHECKS for breach in check(story, scenario)]
+    found = [breach for check in CHECKS for breach in check(trace, scenario)]
     return sorted(found, key=lambda breach: breach.at)
--- a/flaxstep/faultbench/trace.py
+++ b/flaxstep/faultbench/trace.py
@@ -39,25 +39,25 @@
 class Attempt:
     """One request that came whole to a job server."""
 
-    began: Began
+    arrival: Began
     node: int  # -1: unknown
-    first: float  # when the node began to write it
-    delay: float  # ms that the link added
-    ended: float = FOREVER  # at the server, or when the node closed its connection
+    started_at: float  # when the node began to write it
+    link_delay_ms: float  # ms that the link added
+    ended_at: float = FOREVER  # at the server, or when the node closed its connection
     result: str = ""
 
     @property
-    def ran(self) -> bool:
-        return self.result != "full" and not self.began.repeat
+    def was_executed(self) -> bool:
+        return self.result != "full" and not self.arrival.repeat
 
 
 @dataclass(slots=True)
 class TryTrace:
     """One try of a client, as it was written whole."""
 
-    asked: Asked
+    sent: Asked
     node: int
-    answered: Answered | None = None
+    response: Answered | None = None
     attempts: list[Attempt] = field(default_factory=list)
 
 
@@ -66,7 +66,7 @@
     start: float
     end: float = FOREVER
 
-    def meets(self, start: float, end: float) -> bool:
+    def overlaps(self, start: float, end: float) -> bool:
         return self.start < end and start < self.end
 
 
@@ -74,137 +74,152 @@
 class Trace:
     plan: Plan
     tries: dict[str, TryTrace] = field(default_factory=dict)
-    strangers: list[Attempt] = field(default_factory=list)  # requests that no client sent
-    told: dict[int, list[Told]] = field(default_factory=lambda: defaultdict(list))
-    happened: list[Happened] = field(default_factory=list)
-    fell: list[Fell] = field(default_factory=list)
-    held: dict[int, list[Held]] = field(default_factory=lambda: defaultdict(list))
+    unmatched_attempts: list[Attempt] = field(default_factory=list)  # requests that no client sent
+    list_updates: dict[int, list[Told]] = field(default_factory=lambda: defaultdict(list))
+    events: list[Happened] = field(default_factory=list)
+    overload_failures: list[Fell] = field(default_factory=list)
+    load_samples: dict[int, list[Held]] = field(default_factory=lambda: defaultdict(list))
     faults: list[tuple[Fault, Span]] = field(default_factory=list)
-    away: dict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))  # a node did not run
-    starts: dict[int, list[Happened]] = field(default_factory=lambda: defaultdict(list))
+    node_downtimes: dict[int, list[Span]] = field(
+        default_factory=lambda: defaultdict(list)
+    )  # a node did not run
+    node_starts: dict[int, list[Happened]] = field(default_factory=lambda: defaultdict(list))
     regions: dict[str, list[int]] = field(default_factory=dict)
 
-    def disturbed(self, caller: str, callee: str, start: float, end: float) -> bool:
+    def link_was_disturbed(self, caller: str, callee: str, start: float, end: float) -> bool:
         """Whether the link between two processes was at fault in that time."""
         ends = [set(names(name, self.plan, self.regions)) for name in (caller, callee)]
-        return any(any(fault.on(*ends)) and span.meets(start, end) for fault, span in self.faults)
+        return any(any(fault.on(*ends)) and span.overlaps(start, end) for fault, span in self.faults)
 
-    def was_away(self, node: int, start: float, end: float) -> bool:
+    def node_was_down(self, node: int, start: float, end: float) -> bool:
         """Whether a node was killed, stopped or told to end in that time, or before and not back yet."""
-        return any(span.meets(start, end) for span in self.away[node])
+        return any(span.overlaps(start, end) for span in self.node_downtimes[node])
 
 
-def tell(records: Iterable[Record], plan: Plan, regions: dict[str, list[int]]) -> Trace:
+def build_trace(records: Iterable[Record], plan: Plan, regions: dict[str, list[int]]) -> Trace:
     """The story of a play's records, in whatever order they come."""
-    story = Trace(plan, regions=regions)
-    kinds: dict[type, list[Record]] = defaultdict(list)
+    trace = Trace(plan, regions=regions)
+    records_by_type: dict[type, list[Record]] = defaultdict(list)
     for record in records:
-        kinds[type(record)].append(record)
-    for found in kinds.values():
-        found.sort(key=lambda record: record.at)
-    story.happened = [r for r in kinds[Happened] if isinstance(r, Happened)]
-    story.fell = [r for r in kinds[Fell] if isinstance(r, Fell)]
-    for record in kinds[Told]:
+        records_by_type[type(record)].append(record)
+    for same_type in records_by_type.values():
+        same_type.sort(key=lambda record: record.at)
+    trace.events = [r for r in records_by_type[Happened] if isinstance(r, Happened)]
+    trace.overload_failures = [r for r in records_by_type[Fell] if isinstance(r, Fell)]
+    for record in records_by_type[Told]:
         if isinstance(record, Told):
-            story.told[record.node].append(record)
-    for record in kinds[Held]:
+            trace.list_updates[record.node].append(record)
+    for record in records_by_type[Held]:
         if isinstance(record, Held):
-            story.held[record.server].append(record)
-    follow_faults(story, kinds[Disturbed])
-    follow_nodes(story)
-    join_tries(story, kinds)
-    join_attempts(story, kinds)
-    return story
+            trace.load_samples[record.server].append(record)
+    collect_link_faults(trace, records_by_type[Disturbed])
+    collect_node_downtimes(trace)
+    add_tries(trace, records_by_type)
+    add_attempts(trace, records_by_type)
+    return trace
 
 
-def follow_faults(story: Trace, lines: list[Record]) -> None:
+def collect_link_faults(trace: Trace, records: list[Record]) -> None:
     """When each fault of links began and ended."""
-    running: dict[tuple[str, str, str, str], Span] = {}
-    for line in lines:
-        if not isinstance(line, Disturbed):
+    open_spans: dict[tuple[str, str, str, str], Span] = {}
+    for record in records:
+        if not isinstance(record, Disturbed):
             continue
-        key = (line.name, line.one, line.other, line.way)
-        if not line.begins:
-            if key in running:
-                running.pop(key).end = line.at
+        key = (record.name, record.one, record.other, record.way)
+        if not record.begins:
+            if key in open_spans:
+                open_spans.pop(key).end = record.at
             continue
-        running[key] = Span(line.at)
-        spec = {"name": line.name, "between": [line.one, line.other], "way": line.way, "size": 1, "jitter": 0}
-        story.faults.append((Fault(spec), running[key]))
-
-
-def follow_nodes(story: Trace) -> None:
+        open_spans[key] = Span(record.at)
+        spec = {
+            "name": record.name,
+            "between": [record.one, record.other],
+            "way": record.way,
+            "size": 1,
+            "jitter": 0,
+        }
+        trace.faults.append((Fault(spec), open_spans[key]))
+
+
+def collect_node_downtimes(trace: Trace) -> None:
     """When each node did not run; one that was told to end is away until it is ready again."""
-    since: dict[int, Span] = {}
-    for line in story.happened:
-        kind, _, number = line.whom.partition(":")
+    open_spans: dict[int, Span] = {}
+    for event in trace.events:
+        kind, _, number = event.whom.partition(":")
         if kind != "node":
             continue
         node = int(number)
-        if line.what == "started":
-            story.starts[node].append(line)
-        if line.what in ("killed", "stopped", "term") and line.note != "the old process":
-            if node not in since:
-                since[node] = Span(line.at)
-                story.away[node].append(since[node])
-        elif line.what in ("ready", "goes on") and node in since:
-            since.pop(node).end = line.at
-
-
-def join_tries(story: Trace, kinds: dict[type, list[Record]]) -> None:
-    dealt: dict[tuple[int, int], list[Dealt]] = defaultdict(list)
-    for record in kinds[Dealt]:
+        if event.what == "started":
+            trace.node_starts[node].append(event)
+        if event.what in ("killed", "stopped", "term") and event.note != "the old process":
+            if node not in open_spans:
+                open_spans[node] = Span(event.at)
+                trace.node_downtimes[node].append(open_spans[node])
+        elif event.what in ("ready", "goes on") and node in open_spans:
+            open_spans.pop(node).end = event.at
+
+
+def add_tries(trace: Trace, records_by_type: dict[type, list[Record]]) -> None:
+    assignments: dict[tuple[int, int], list[Dealt]] = defaultdict(list)
+    for record in records_by_type[Dealt]:
         if isinstance(record, Dealt):
-            dealt[record.zone, record.port].append(record)
-    for record in kinds[Asked]:
+            assignments[record.zone, record.port].append(record)
+    for record in records_by_type[Asked]:
         if isinstance(record, Asked):
-            lines = dealt[record.zone, record.port]
-            before = [line for line in lines if line.at <= record.at]
+            candidates = assignments[record.zone, record.port]
+            earlier = [dealt for dealt in candidates if dealt.at <= record.at]
             # The kernel takes a connection, and a first request on it, before the front comes to it.
-            line = next(iter(before[-1:] or lines), None)
-            story.tries[record.id] = TryTrace(record, line.node if line else -1)
-    for record in kinds[Answered]:
-        if isinstance(record, Answered) and record.id in story.tries:
-            one = story.tries[record.id]
-            one.answered = one.answered or record
+            assignment = next(iter(earlier[-1:] or candidates), None)
+            trace.tries[record.id] = TryTrace(record, assignment.node if assignment else -1)
+    for record in records_by_type[Answered]:
+        if isinstance(record, Answered) and record.id in trace.tries:
+            try_trace = trace.tries[record.id]
+            try_trace.response = try_trace.response or record
 
 
-def join_attempts(story: Trace, kinds: dict[type, list[Record]]) -> None:
-    turns: dict[tuple[str, int, int], list[Turn]] = defaultdict(list)
-    for record in kinds[Turn]:
+def add_attempts(trace: Trace, records_by_type: dict[type, list[Record]]) -> None:
+    turns_by_connection: dict[tuple[str, int, int], list[Turn]] = defaultdict(list)
+    for record in records_by_type[Turn]:
         if isinstance(record, Turn):
-            turns[record.callee, record.port, record.turn].append(record)
-    closed: dict[tuple[str, int], list[float]] = defaultdict(list)
-    for record in kinds[Closed]:
+            turns_by_connection[record.callee, record.port, record.turn].append(record)
+    close_times: dict[tuple[str, int], list[float]] = defaultdict(list)
+    for record in records_by_type[Closed]:
         if isinstance(record, Closed) and record.by == record.caller:
-            closed[record.callee, record.port].append(record.at)
-    ended: dict[tuple[int, int, int, str], Ended] = {}
-    for record in kinds[Ended]:
+            close_times[record.callee, record.port].append(record.at)
+    ends_by_request: dict[tuple[int, int, int, str], Ended] = {}
+    for record in records_by_type[Ended]:
         if isinstance(record, Ended):
-            ended[record.server, record.port, record.turn, record.id] = record
-    killed: dict[str, list[float]] = defaultdict(list)
-    for line in story.happened:
-        if line.what == "killed":
-            killed[line.whom].append(line.at)
-    for record in kinds[Began]:
+            ends_by_request[record.server, record.port, record.turn, record.id] = record
+    kill_times: dict[str, list[float]] = defaultdict(list)
+    for event in trace.events:
+        if event.what == "killed":
+            kill_times[event.whom].append(event.at)
+    for record in records_by_type[Began]:
         if not isinstance(record, Began):
             continue
-        name = f"server:{record.server}"
-        ways = [turn for turn in turns[name, record.port, record.turn] if turn.first <= record.at]
-        way = ways[-1] if ways else None
-        node = int(way.caller.partition(":")[2]) if way else -1
-        attempt = Attempt(record, node, way.first if way else record.first, way.delay if way else 0.0)
-        end = ended.get((record.server, record.port, record.turn, record.id))
+        callee = f"server:{record.server}"
+        link_turns = [
+            turn for turn in turns_by_connection[callee, record.port, record.turn] if turn.first <= record.at
+        ]
+        link_turn = link_turns[-1] if link_turns else None
+        node = int(link_turn.caller.partition(":")[2]) if link_turn else -1
+        attempt = Attempt(
+            record,
+            node,
+            link_turn.first if link_turn else record.first,
+            link_turn.delay if link_turn else 0.0,
+        )
+        end = ends_by_request.get((record.server, record.port, record.turn, record.id))
         if end is not None:
-            attempt.ended, attempt.result = end.at, end.result
-        for times in (closed[name, record.port], killed[name]):
+            attempt.ended_at, attempt.result = end.at, end.result
+        for times in (close_times[callee, record.port], kill_times[callee]):
             # From its first byte on: a stopped server reads only afterwards what was given up meanwhile.
-            later = bisect_right(times, attempt.first)
-            if later < len(times):
-                attempt.ended = min(attempt.ended, times[later])
-        if record.id in story.tries:
-            story.tries[record.id].attempts.append(attempt)
+            next_index = bisect_right(times, attempt.started_at)
+            if next_index < len(times):
+                attempt.ended_at = min(attempt.ended_at, times[next_index])
+        if record.id in trace.tries:
+            trace.tries[record.id].attempts.append(attempt)
         else:
-            story.strangers.append(attempt)
-    for one in story.tries.values():
-        one.attempts.sort(key=lambda attempt: attempt.first)
+            trace.unmatched_attempts.append(attempt)
+    for try_trace in trace.tries.values():
+        try_trace.attempts.sort(key=lambda attempt: attempt.started_at)
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -12,7 +12,7 @@
 from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import read_records
 from flaxstep.faultbench.result import Result, judge_play
-from flaxstep.faultbench.trace import Trace, tell
+from flaxstep.faultbench.trace import Trace, build_trace
 from flaxstep.simulator.scenario import Scenario, read_scenario
 
 ROOT = Path(__file__).parent.parent
@@ -72,7 +72,7 @@
 @dataclass
 class Played:
     scenario: Scenario
-    story: Trace
+    trace: Trace
     result: Result
 
     @property
@@ -101,8 +101,8 @@
     for pid in children:
         assert not Path(f"/proc/{pid}").exists()
     records = list(read_records(folder / "play"))
-    story = tell(records, stage.plan, scenario.rig.regions)
-    return Played(scenario, story, judge_play(scenario, 1, folder / "play"))
+    trace = build_trace(records, stage.plan, scenario.rig.regions)
+    return Played(scenario, trace, judge_play(scenario, 1, folder / "play"))
 
 
 def played(stage: Farm) -> float:
--- a/tests/test_rig_faults.py
+++ b/tests/test_rig_faults.py
@@ -12,7 +12,7 @@
 
 from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import read_records
-from flaxstep.faultbench.trace import FOREVER, Attempt, tell
+from flaxstep.faultbench.trace import FOREVER, Attempt, build_trace
 from tests.rigs import ROOT, Played, alive, rig
 
 BOTH = {"way": "both", "size": 1.0, "jitter": 0.0}
@@ -25,18 +25,18 @@
 
 def ran(play: Played, cls: int) -> list[list[Attempt]]:
     """The attempts that ran, by try of a class."""
-    tries = [one for one in play.story.tries.values() if one.asked.cls == cls]
-    return [[attempt for attempt in one.attempts if attempt.ran] for one in tries]
+    tries = [one for one in play.trace.tries.values() if one.sent.cls == cls]
+    return [[attempt for attempt in one.attempts if attempt.was_executed] for one in tries]
 
 
 def out(stage: Farm) -> set[tuple[int, int]]:
     """Node and server of each attempt that a server holds now."""
-    story = tell(read_records(stage.folder), stage.plan, stage.scenario.rig.regions)
+    trace = build_trace(read_records(stage.folder), stage.plan, stage.scenario.rig.regions)
     return {
-        (one.node, attempt.began.server)
-        for one in story.tries.values()
+        (one.node, attempt.arrival.server)
+        for one in trace.tries.values()
         for attempt in one.attempts
-        if attempt.ended == FOREVER
+        if attempt.ended_at == FOREVER
     }
 
 
@@ -64,10 +64,10 @@
     play = asyncio.run(rig(tmp_path, acts, seconds=6))
     assert not play.result.breaches
     cut = [
-        a for one in play.story.tries.values() for a in one.attempts if a.node == 0 and a.began.server >= 3
+        a for one in play.trace.tries.values() for a in one.attempts if a.node == 0 and a.arrival.server >= 3
     ]
     # Its servers are in use before the cut and again after it.
-    assert min(a.first for a in cut) < 500 and max(a.first for a in cut) > 1700
+    assert min(a.started_at for a in cut) < 500 and max(a.started_at for a in cut) > 1700
     assert play.result.verdict.served > 0.6
 
 
@@ -81,7 +81,7 @@
     play = asyncio.run(rig(tmp_path, acts, seconds=4))
     assert not play.result.breaches
     assert max(len(attempts) for attempts in ran(play, 0)) == 1
-    late = [line for line in play.story.held[1] if line.at > 1900]
+    late = [line for line in play.trace.load_samples[1] if line.at > 1900]
     assert late and play.result.verdict.served > 0.7
 
 
@@ -96,13 +96,13 @@
 
     play = asyncio.run(rig(tmp_path, acts))
     assert not play.result.breaches
-    [killed] = [line.at for line in play.story.happened if line.what == "killed"]
+    [killed] = [line.at for line in play.trace.events if line.what == "killed"]
     cut = [
-        a for one in play.story.tries.values() for a in one.attempts if a.node == 0 and a.began.at < killed
+        a for one in play.trace.tries.values() for a in one.attempts if a.node == 0 and a.arrival.at < killed
     ]
-    assert {a.began.server for a in cut if a.ended >= killed} >= {0, 1, 2}  # that it held when it died
+    assert {a.arrival.server for a in cut if a.ended_at >= killed} >= {0, 1, 2}  # that it held when it died
     assert max(len(attempts) for attempts in ran(play, 0)) == 1
-    assert any(one.node == 0 and one.asked.at > killed for one in play.story.tries.values())
+    assert any(one.node == 0 and one.sent.at > killed for one in play.trace.tries.values())
 
 
 @pytest.mark.parametrize("name", ["silent", "reset"])
@@ -121,17 +121,17 @@
 
     play = asyncio.run(rig(tmp_path, acts))
     assert not play.result.breaches
-    [(_, span)] = play.story.faults
+    [(_, span)] = play.trace.faults
     began = span.start
     held = [
         one
-        for one in play.story.tries.values()
-        if any(a.ran and a.began.at < began < a.ended + 0.5 for a in one.attempts)
+        for one in play.trace.tries.values()
+        if any(a.was_executed and a.arrival.at < began < a.ended_at + 0.5 for a in one.attempts)
     ]
     assert held
     for one in held:  # it has run: neither refused nor, if unsafe, sent again
-        assert one.answered is not None and one.answered.status not in (429, 503)
-        assert one.asked.cls or len(one.attempts) == 1
+        assert one.response is not None and one.response.status not in (429, 503)
+        assert one.sent.cls or len(one.attempts) == 1
 
 
 def test_clocks_apart_by_3_s_and_a_cordon_with_a_restart(tmp_path: Path) -> None:
@@ -152,8 +152,8 @@
     logs = [(tmp_path / "play" / f"node-{node}-0.log").read_text().split(",")[0] for node in (0, 1)]
     seconds = [int(text[17:19]) + 60 * int(text[14:16]) for text in logs]
     assert (seconds[0] - seconds[1]) % 3600 in (5, 6, 7)  # what their logs say of one moment
-    back = [a for one in play.story.tries.values() for a in one.attempts if a.began.server == 0]
-    assert max(a.first for a in back) > 1000  # used again
+    back = [a for one in play.trace.tries.values() for a in one.attempts if a.arrival.server == 0]
+    assert max(a.started_at for a in back) > 1000  # used again
 
 
 def test_a_full_disk_refuses_a_cordon_and_service_goes_on(tmp_path: Path) -> None:
@@ -177,7 +177,7 @@
 
     play = asyncio.run(rig(tmp_path, acts, seconds=4))
     assert not play.result.breaches
-    starts = [line for line in play.story.happened if line.whom == "node:0" and line.what == "ready"]
+    starts = [line for line in play.trace.events if line.whom == "node:0" and line.what == "ready"]
     assert len(starts) == 2
 
     command = [sys.executable, "-B", "-m", "flaxstep", "rig", "play", str(ROOT / "scenarios/hand-drain.toml")]
--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -10,8 +10,8 @@
 
 from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import Answered, Asked, Began, Closed, Dealt, Ended, Happened, Record, Turn
-from flaxstep.faultbench.rule_checks import lost, together
-from flaxstep.faultbench.trace import tell
+from flaxstep.faultbench.rule_checks import find_excess_attempts, find_lost_requests
+from flaxstep.faultbench.trace import build_trace
 from flaxstep.simulator.sampling import draw_plan
 from flaxstep.simulator.scenario import read_scenario
 from tests.rigs import ROOT, Played, rig
@@ -86,8 +86,8 @@
     asked = [Asked(10.0, zone, 0, str(zone), 0, zone, 5000, 500.0, True, 9.0) for zone in (0, 1)]
     lines = [Dealt(at, zone, 5000, node) for at, zone, node in dealt]
     plan = draw_plan(read_scenario(ROOT / "scenarios" / "demo.toml"), 1)
-    story = tell([*asked, *lines], plan, {})
-    assert [story.tries[str(zone)].node for zone in (0, 1)] == nodes
+    trace = build_trace([*asked, *lines], plan, {})
+    assert [trace.tries[str(zone)].node for zone in (0, 1)] == nodes
 
 
 @pytest.mark.parametrize(
@@ -107,8 +107,8 @@
     ]
     if stopped:
         lines += [Happened(950.0, "stopped", "node:0"), Happened(8000.0, "goes on", "node:0")]
-    story = tell(lines, draw_plan(scenario, 1), {})
-    assert bool(list(lost(story, scenario))) is broken
+    trace = build_trace(lines, draw_plan(scenario, 1), {})
+    assert bool(list(find_lost_requests(trace, scenario))) is broken
 
 
 @pytest.mark.parametrize(("closed_at", "broken"), [(1500.0, False), (1700.0, True)])
@@ -128,5 +128,5 @@
         Began(2000.0, "ab", "", 3, "v1", 7, 0, 2000.0, 20.0),
         Ended(2001.0, "ab", 3, 7, 0, "left"),
     ]
-    story = tell(lines, draw_plan(scenario, 1), {})
-    assert bool(list(together(story, scenario))) is broken
+    trace = build_trace(lines, draw_plan(scenario, 1), {})
+    assert bool(list(find_excess_attempts(trace, scenario))) is broken
--- a/tests/test_rig_play.py
+++ b/tests/test_rig_play.py
@@ -12,7 +12,7 @@
 from flaxstep.faultbench.records import read_records
 from flaxstep.faultbench.result import judge_play
 from flaxstep.faultbench.runner import play
-from flaxstep.faultbench.trace import tell
+from flaxstep.faultbench.trace import build_trace
 from flaxstep.simulator.sampling import draw_plan
 from flaxstep.simulator.scenario import read_scenario
 from tests.rigs import NODE, ROOT, SMALL
@@ -61,15 +61,15 @@
     seen: list[str] = []
     asyncio.run(play(scenario, path, 5, tmp_path / "play", lambda _, __, what: seen.append(what), run=NODE))
     result = judge_play(scenario, 5, tmp_path / "play")
-    story = tell(read_records(tmp_path / "play"), draw_plan(scenario, 5), scenario.rig.regions)
-    assert not [line for line in story.happened if line.what == "step failed"]
+    trace = build_trace(read_records(tmp_path / "play"), draw_plan(scenario, 5), scenario.rig.regions)
+    assert not [line for line in trace.events if line.what == "step failed"]
     assert not result.breaches
-    assert {fault.kind for fault, _ in story.faults} == set(LINKS)
-    assert all(span.end - span.start < 3000 for _, span in story.faults)
-    done = {line.what for line in story.happened}
+    assert {fault.kind for fault, _ in trace.faults} == set(LINKS)
+    assert all(span.end - span.start < 3000 for _, span in trace.faults)
+    done = {line.what for line in trace.events}
     assert {"stopped", "goes on", "killed", "term", "clock", "disk", "down", "up", "quiesce yes"} <= done
     assert result.verdict.served > 0.3
-    assert max(one.asked.at for one in story.tries.values()) > 4500
+    assert max(one.sent.at for one in trace.tries.values()) > 4500
 
 
 def test_the_old_path_of_the_commands_leads_to_them() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,11 +12,11 @@
 from flaxstep.cli_faultbench import NOT_RUN_PART, folder_for, run_soak
 from flaxstep.faultbench.farm import build
 from flaxstep.faultbench.records import Asked, Began, Happened, Record, Recorder, Told
-from flaxstep.faultbench.rule_checks import Breach, told_out
+from flaxstep.faultbench.rule_checks import Breach, drain_enforced_from
 from flaxstep.faultbench.soak.runner import SoakOutcome
 from flaxstep.faultbench.soak.sampling import CALM_S, MOST_FAULTS, START_S, draw_play
 from flaxstep.faultbench.soak.timeline import report
-from flaxstep.faultbench.trace import FOREVER, Attempt, tell
+from flaxstep.faultbench.trace import FOREVER, Attempt, build_trace
 from flaxstep.simulator.sampling import draw_plan
 from flaxstep.simulator.scenario import Rules, parse_scenario
 
@@ -57,8 +57,8 @@
         lines.append(Told(2800.0, 0, 3, False, {2: "active"}))
     began = Began(sent_at, "ab", "", 1, "v1", 1, 1, sent_at, 20.0)
     attempt = Attempt(began, 0, sent_at, 0.0)
-    out_since = told_out(tell(lines, plan, {}), attempt, Rules(drain_grace_ms=500.0))
-    assert (sent_at > out_since) is broken
+    enforced_from = drain_enforced_from(build_trace(lines, plan, {}), attempt, Rules(drain_grace_ms=500.0))
+    assert (sent_at > enforced_from) is broken
 
 
 def test_what_was_assumed_of_an_older_list_does_not_undo_a_newer_one() -> None:
@@ -66,7 +66,7 @@
     back = Told(2000.0, 0, 3, False, {1: "active"})
     late = Told(3000.0, 0, 2, False, {1: "leaving"}, assumed=True)
     attempt = Attempt(Began(9000.0, "ab", "", 1, "v1", 1, 1, 9000.0, 20.0), 0, 9000.0, 0.0)
-    assert told_out(tell([back, late], plan, {}), attempt, Rules()) == FOREVER
+    assert drain_enforced_from(build_trace([back, late], plan, {}), attempt, Rules()) == FOREVER
 
 
 def test_a_breach_is_told_with_what_every_process_saw(tmp_path: Path) -> None:
