--- a/flaxstep/cli_faultbench.py
+++ b/flaxstep/cli_faultbench.py
@@ -28,7 +28,7 @@
     run_load,
 )
 from flaxstep.faultbench.report import write_report
-from flaxstep.faultbench.result import Line, Result, judge_play, write_result
+from flaxstep.faultbench.result import Result, TableRow, judge_play, write_result
 from flaxstep.faultbench.runner import play
 from flaxstep.faultbench.soak.runner import SoakOutcome, soak
 from flaxstep.faultbench.soak.timeline import report
@@ -252,10 +252,10 @@
         f"worst 10 s {verdict.worst_window:.4f} (from {verdict.worst_from} s)"
     )
     table = Table("", "served", *(case.replace("_", " ") for case in CASES), "p50 ms", "p99 ms")
-    for line in [*result.classes, *result.zones, *result.tens]:
-        took = result.latency_ms.get(line.name, {})
+    for row in [*result.classes, *result.zones, *result.tens]:
+        took = result.latency_ms.get(row.name, {})
         times = (f"{took[p]:.0f}" if p in took else "" for p in ("p50", "p99"))
-        table.add_row(line.name, served(line), *(str(getattr(line, case)) for case in CASES), *times)
+        table.add_row(row.name, served(row), *(str(getattr(row, case)) for case in CASES), *times)
     console.print(table)
     console.print(
         f"attempts between zones {result.crossings}; servers slowed {result.slowed}, fallen {result.fell}; "
@@ -270,5 +270,5 @@
     console.print(f"report: {folder / 'report.html'}", soft_wrap=True)
 
 
-def served(line: Line) -> str:
-    return f"{line.earned / line.asked:.4f}" if line.asked else "-"
+def served(row: TableRow) -> str:
+    return f"{row.earned / row.asked:.4f}" if row.asked else "-"
--- a/flaxstep/faultbench/records.py
+++ b/flaxstep/faultbench/records.py
@@ -1,9 +1,10 @@
-"""What processes of the rig write down: one JSON object a line, each written at once, so that a kill loses
-none.
+"""The records that the processes of a play write: one JSON object a line.
 
-Times are ms since the play began, by the machine's monotonic clock, which all processes share. Ports tell
-the connections to one listener apart: each is that of the side that opened it, which may have the same port
-on connections to others.
+Each record is written at once, so that a process that is killed loses none. Times are ms since the play
+began, by the machine's monotonic clock, which all processes share. A connection is identified by its listener
+and by the port of the side that opened it; the same port may be in use for connections to other listeners.
+
+Class names are the tags of the records and field names their keys: both are part of the file format.
 """
 
 from __future__ import annotations
@@ -17,37 +18,39 @@
 
 
 class Line(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
+    """Base of all records: the time at which the event happened."""
+
     at: float
 
 
 class Asked(Line, frozen=True):
-    """A client has written a try whole."""
+    """A client wrote the whole request of one try."""
 
-    first: int  # its first try's place among the day's
-    number: int
+    first: int  # index of the request among the day's first tries
+    number: int  # 0 for the first try, 1 for its first retry and so on
     id: str
-    cls: int
+    cls: int  # index of the request class
     zone: int
     port: int
-    due: float
-    fresh: bool  # the first request on its connection
-    began: float  # of the first try
+    due: float  # when the client gives up this try
+    fresh: bool  # whether it is the first request on its connection
+    began: float  # when the request's first try was due to be sent
 
 
 class Answered(Line, frozen=True):
-    """What came of a try. Status 0: its connection ended first; -1: its client left or waited no longer."""
+    """The outcome of a try. Status 0: its connection ended first; -1: its client left or timed out."""
 
     id: str
     status: int
-    whole: bool = True  # the body is one that a job server made for this request
+    whole: bool = True  # False: a 200 without the body that a job server made for this request
     server: str = ""
     version: str = ""
-    bytes: int = 0  # of the answer, where it broke off
-    wait: float = 0.0  # ms that Retry-After asks for
+    bytes: int = 0  # received of an incomplete response
+    wait: float = 0.0  # ms, of Retry-After
 
 
 class Dealt(Line, frozen=True):
-    """The front has given a client's connection to a node; it has a listener for each zone."""
+    """The frontend balancer assigned a client's connection to a node. It has one listener for each zone."""
 
     zone: int
     port: int
@@ -55,28 +58,28 @@
 
 
 class Believed(Line, frozen=True):
-    """The front takes a node for there, or not."""
+    """The frontend balancer began to consider a node healthy, or unhealthy."""
 
     node: int
     there: bool
 
 
 class Began(Line, frozen=True):
-    """A request has come to a job server whole."""
+    """A whole request arrived at a job server."""
 
     id: str
     key: str
     server: int
     version: str
     port: int
-    turn: int  # its place on the connection
-    first: float  # when its first byte came
-    work: float  # ms on a standard core
-    repeat: bool = False  # dropped by the rack
+    turn: int  # index of the request on its connection
+    first: float  # arrival of its first byte
+    work: float  # ms on a core of speed 1
+    repeat: bool = False  # dropped as a repeat by the server's rack
 
 
 class Ended(Line, frozen=True):
-    """A job server is done with a request: its outcome, or `left` if its connection ended."""
+    """A job server finished a request: its outcome, or `left` if its connection ended first."""
 
     id: str
     server: int
@@ -86,36 +89,36 @@
 
 
 class Fell(Line, frozen=True):
-    """A cold job server was sent more than it can bear."""
+    """A cold job server was sent more than it can bear and went out of service."""
 
     server: int
 
 
 class Held(Line, frozen=True):
-    """What a job server holds, four times a second."""
+    """A sample of a job server's load, taken four times a second."""
 
     server: int
-    held: int
+    held: int  # requests in work and waiting
     cold: bool
     slowed: bool
-    done: float  # ms of standard work so far
-    useful: float  # of it, for answers that served
+    done: float  # ms of work since the process started, on a core of speed 1
+    useful: float  # the part of it whose responses were of use to a client
 
 
 class Turn(Line, frozen=True):
-    """A request on a link, by its bytes from the caller; `at` is the answer's first byte, or the end."""
+    """A request that passed over a link. `at` is the first byte of its response, or its connection's end."""
 
     caller: str
     callee: str
-    port: int  # of the link's own connection to the callee
+    port: int  # local port of the link's own connection to the callee
     turn: int
-    first: float
-    last: float
-    delay: float = 0.0  # ms that the link adds on the way there
+    first: float  # first byte from the caller
+    last: float  # last byte from the caller
+    delay: float = 0.0  # ms that the link adds on the way to the callee
 
 
 class Closed(Line, frozen=True):
-    """One side has ended a connection of a link."""
+    """One side closed a connection of a link."""
 
     caller: str
     callee: str
@@ -124,17 +127,17 @@
 
 
 class Told(Line, frozen=True):
-    """Discovery has written a list, or a change of it, to a node."""
+    """Discovery wrote a list, or a change of it, to a node."""
 
     node: int
     version: int
-    whole: bool
+    whole: bool  # the full list, not a change
     entries: dict[int, str]  # lifecycle by server
-    assumed: bool = False  # it was not written: at that time it counts as told all the same
+    assumed: bool = False  # not written, but the node is held to know it from this time on
 
 
 class Happened(Line, frozen=True):
-    """Something was done to a process, or by staff: what, and to whom."""
+    """An event of a process, or an action of an operator: what, and to which process."""
 
     what: str
     whom: str
@@ -142,7 +145,7 @@
 
 
 class Disturbed(Line, frozen=True):
-    """A fault of links between two names begins, or ends."""
+    """A fault of the links between two groups of processes began, or ended."""
 
     name: str
     one: str
@@ -171,16 +174,18 @@
 
 
 class Recorder:
-    """Appends to one file. `t0` is the play's beginning, s on the monotonic clock."""
+    """Appends records to one file. `t0` is the start of the play in s on the monotonic clock."""
 
     def __init__(self, path: Path, t0: float) -> None:
         self.t0 = t0
         self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def now(self) -> float:
+        """ms since the play began."""
         return (time.monotonic() - self.t0) * 1000
 
     def write(self, record: Record) -> None:
+        """Append a record with one write call, without buffering."""
         os.write(self._fd, _encoder.encode(record) + b"\n")
 
     def close(self) -> None:
@@ -188,7 +193,7 @@
 
 
 def read_records(folder: Path) -> Iterator[Record]:
-    """All records of a play, file by file. A line that its writer's end cut short is passed over."""
+    """All records of a play, file by file. A line cut short by the end of its writer is skipped."""
     for path in sorted(folder.glob("*.jsonl")):
         for line in path.read_bytes().split(b"\n"):
             if line.endswith(b"}"):
--- a/flaxstep/faultbench/report.py
+++ b/flaxstep/faultbench/report.py
@@ -13,7 +13,7 @@
 from matplotlib.axes import Axes
 from matplotlib.figure import Figure
 
-from flaxstep.faultbench.result import Line, Result
+from flaxstep.faultbench.result import Result, TableRow
 from flaxstep.faultbench.rule_checks import Breach
 
 WIDTH, BAND_HEIGHT, BELOW, ABOVE = 10.0, 0.24, 0.42, 0.24  # inches
@@ -195,7 +195,7 @@
     return f"<table>{head}{''.join(rows)}</table>"
 
 
-def row(line: Line, result: Result, gap: bool) -> str:
+def row(line: TableRow, result: Result, gap: bool) -> str:
     part = f"{line.earned / line.asked:.1%}" if line.asked else "-"
     took = result.latency_ms.get(line.name, {})
     times = [f"{took[name]:.0f}" if name in took else "" for name in ("p50", "p99")]
--- a/flaxstep/faultbench/rule_checks.py
+++ b/flaxstep/faultbench/rule_checks.py
@@ -1,8 +1,9 @@
-"""The rules of the protocol page held against the story of a play: each breach with time, node, request and
-server.
+"""Checks the trace of a play against the rules of the protocol page; each breach names time, node, request
+and server.
 
-Figures are the scenario's; every limit is 50 ms longer on sockets. Where a process or a link was disturbed by
-the rig itself, what it cost is nobody's breach: a killed node owes no answer, a cut one can't give any.
+Limits are those of the scenario, each longer by SOCKET_SLACK_MS because the play runs on real sockets. What
+follows from a fault that the bench itself caused is no breach: a node that was killed owes no response, and
+one that was cut off can't send any.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from flaxstep.faultbench.trace import FOREVER, Attempt, Trace, TryTrace
 from flaxstep.simulator.scenario import Class, Rules, Scenario
 
-SOCKET_SLACK_MS = 50.0  # ms by which each limit is longer on sockets
-LOST_AFTER_DUE_MS = 500.0  # ms after its time in which an answer earns nothing, and is not lost yet
-UPDATE_ASSUMED_AFTER_MS = 6000.0  # ms after which news counts as told that may not have arrived
-ADMIN_CALL_MS = 1000.0  # ms after a call by staff from which it holds, with no answer too
-FABRICATED_BODY = "served with what no job server made for it"  # nothing that the rig does excuses that
-ORDER_TOLERANCE_MS = 20.0  # ms that one process may see two things in the wrong order
+SOCKET_SLACK_MS = 50.0  # added to each limit
+LOST_AFTER_DUE_MS = 500.0  # a response that comes this long after its try is due counts as lost
+UPDATE_ASSUMED_AFTER_MS = 6000.0  # a list update that may not have arrived counts as known after this
+ADMIN_CALL_MS = 1000.0  # an uncordon may have taken effect this long before its outcome was recorded
+FABRICATED_BODY = "served with what no job server made for it"  # never excused by a fault
+ORDER_TOLERANCE_MS = 20.0  # two events may be recorded in the wrong order within this time
 
 
 class Breach(msgspec.Struct, frozen=True):
-    """A broken rule. Node and server are -1, the request empty, where there is none."""
+    """One violation of a rule. Node and server are -1 and the request is empty where they don't apply."""
 
     rule: str
     at: float
@@ -39,7 +40,7 @@
 
 
 def find_lost_requests(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
-    """Every request that a running node has taken gets one final answer in time."""
+    """Check that every request accepted by a running node gets one complete response in time."""
     for try_trace in trace.tries.values():
         sent, response = try_trace.sent, try_trace.response
         if response is None:
@@ -61,19 +62,19 @@
 
 
 def describe_closed_connection(try_trace: TryTrace) -> str:
-    """Why a connection that ended lost its request; nothing where it did not."""
+    """How a request was lost with its connection, or an empty string if the close was permitted."""
     sent, response = try_trace.sent, try_trace.response
     assert response is not None
     if response.bytes:
         served = any(attempt.result == "ok" for attempt in try_trace.attempts)
         return f"its answer broke off after {response.bytes} bytes" if served else ""
     if sent.fresh or response.at - sent.at < CROSSED_CLOSE_MS:
-        return ""  # failed, or an end that crossed the request
+        return ""  # never accepted, or the close crossed the request
     return "its connection ended without an answer"
 
 
 def is_excused(trace: Trace, try_trace: TryTrace, until: float) -> bool:
-    """Whether its node did not run all the time, or could not reach the client."""
+    """Whether the node is unknown, was down, or was cut off from the client before the time `until`."""
     if try_trace.node < 0:
         return True
     start = try_trace.sent.at
@@ -83,7 +84,7 @@
 
 
 def repeat_is_dropped(trace: Trace, request_class: Class, first_server: int, second_server: int) -> bool:
-    """Whether a repeat at the other server is dropped by the first one's group."""
+    """Whether a repeat at the second server is dropped, since both are in one idempotency group."""
     first, second = trace.plan.servers[first_server], trace.plan.servers[second_server]
     if request_class.group == "cell":
         return first.cell == second.cell
@@ -91,7 +92,10 @@
 
 
 def find_duplicates(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
-    """Nothing that may have run is repeated beyond its class, refused, or made up."""
+    """Check that no request that may have run is repeated where its class forbids it, or refused.
+
+    Also reports requests that no client sent.
+    """
     for attempt in trace.unmatched_attempts:
         yield attempt_breach("duplicate", attempt, "a request that no client sent")
     for try_trace in trace.tries.values():
@@ -128,7 +132,7 @@
 
 
 def find_excess_attempts(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
-    """One attempt out at a time, and no more than allowed."""
+    """Check that a request has one attempt in flight at a time, and no more attempts than allowed."""
     for try_trace in trace.tries.values():
         for earlier, attempt in zip(try_trace.attempts, try_trace.attempts[1:], strict=False):
             if attempt.started_at < earlier.ended_at - ORDER_TOLERANCE_MS:
@@ -146,7 +150,7 @@
 
 
 def find_drain_breaches(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
-    """Nothing new to a server that drains or is gone, once the node was told and the grace is over."""
+    """Check that no attempt goes to a server that drains or has left once its node's grace is over."""
     for attempt in all_attempts(trace):
         enforced_from = drain_enforced_from(trace, attempt, scenario.rules)
         if attempt.started_at > enforced_from:
@@ -155,15 +159,15 @@
 
 
 def drain_enforced_from(trace: Trace, attempt: Attempt, rules: Rules) -> float:
-    """From when on the node's news forbade this attempt; never, if it did not."""
+    """When the node's list began to forbid this attempt, with the grace; FOREVER if it did not."""
     started = [event.at for event in trace.node_starts[attempt.node] if event.at <= attempt.started_at]
     enforced_from, server = FOREVER, attempt.arrival.server
-    newest_written = 0  # the newest version that was
+    newest_written = 0  # newest list version that discovery wrote to the node
     for update in trace.list_updates[attempt.node]:
         if update.at > attempt.started_at or (started and update.at < started[-1]):
             continue
         if update.assumed and update.version <= newest_written:
-            continue  # it has come meanwhile
+            continue  # this version or a newer one was written meanwhile
         if not update.assumed:
             newest_written = max(newest_written, update.version)
         state = update.entries.get(server, "left" if update.whole else "")
@@ -183,7 +187,10 @@
 
 
 def find_cordon_breaches(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
-    """Nothing new to a server that staff have taken out, from the node's yes until they call it back."""
+    """Check that no attempt goes to a cordoned server, from the node's confirmation until it is uncordoned.
+
+    A node that starts with an empty folder has forgotten its cordons.
+    """
     cordons: dict[tuple[int, str], list[tuple[float, float]]] = {}
     for event in trace.events:
         kind, _, number = event.whom.partition(":")
@@ -207,7 +214,7 @@
 
 
 def find_overloaded_cold_servers(trace: Trace, scenario: Scenario) -> Iterator[Breach]:
-    """No cold server is sent more than it can bear."""
+    """Check that no cold server is sent more than it can bear."""
     for failure in trace.overload_failures:
         yield Breach(
             "cold server", failure.at, -1, "", failure.server, "sent more than it can bear, it fell over"
@@ -215,12 +222,14 @@
 
 
 def all_attempts(trace: Trace) -> Iterator[Attempt]:
+    """The attempts of all tries, then those that belong to none."""
     for try_trace in trace.tries.values():
         yield from try_trace.attempts
     yield from trace.unmatched_attempts
 
 
 def attempt_breach(rule: str, attempt: Attempt, what: str) -> Breach:
+    """A breach at the time, node, request and server of an attempt."""
     arrival = attempt.arrival
     return Breach(rule, round(attempt.started_at, 3), attempt.node, arrival.id, arrival.server, what)
 
@@ -236,6 +245,6 @@
 
 
 def find_breaches(trace: Trace, scenario: Scenario) -> list[Breach]:
-    """All breaches of a play, in order of time."""
+    """Run all checks; the breaches are in order of time."""
     found = [breach for check in CHECKS for breach in check(trace, scenario)]
     return sorted(found, key=lambda breach: breach.at)
--- a/flaxstep/faultbench/trace.py
+++ b/flaxstep/faultbench/trace.py
@@ -1,9 +1,9 @@
-"""The records of a play put together: each try with its node and answer, each attempt with its way and its
-end.
+"""Joins the records of a play: each client try with its node and response, each attempt with its end.
 
-No process saw all of it. The links saw when a node wrote and closed, job servers what came whole and when
-they were done, clients what came back, the front which node a connection went to, discovery what it told, the
-rig what it did.
+No process sees a whole request. The links record when a node wrote a request and closed a connection, job
+servers which requests arrived and when they ended, clients their tries and responses, the frontend balancer
+the node of each connection, discovery the lists it sent, and the fault bench what it did to the processes.
+All times are ms since the play began.
 """
 
 from __future__ import annotations
@@ -37,23 +37,24 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One request that came whole to a job server."""
+    """A request that arrived whole at a job server."""
 
     arrival: Began
-    node: int  # -1: unknown
-    started_at: float  # when the node began to write it
-    link_delay_ms: float  # ms that the link added
-    ended_at: float = FOREVER  # at the server, or when the node closed its connection
+    node: int  # -1 if unknown
+    started_at: float  # first byte from the node
+    link_delay_ms: float  # added by the link on the way to the server
+    ended_at: float = FOREVER  # done at the server, closed by the node or killed
     result: str = ""
 
     @property
     def was_executed(self) -> bool:
+        """Whether the server executed it: it was neither rejected as full nor dropped as a repeat."""
         return self.result != "full" and not self.arrival.repeat
 
 
 @dataclass(slots=True)
 class TryTrace:
-    """One try of a client, as it was written whole."""
+    """A try of a client that was written whole, with its response and the attempts made for it."""
 
     sent: Asked
     node: int
@@ -63,6 +64,8 @@
 
 @dataclass(slots=True)
 class Span:
+    """A time span in ms."""
+
     start: float
     end: float = FOREVER
 
@@ -72,9 +75,11 @@
 
 @dataclass(slots=True)
 class Trace:
+    """The joined records of a play. Dicts of lists are by node or by server, each list in order of time."""
+
     plan: Plan
-    tries: dict[str, TryTrace] = field(default_factory=dict)
-    unmatched_attempts: list[Attempt] = field(default_factory=list)  # requests that no client sent
+    tries: dict[str, TryTrace] = field(default_factory=dict)  # by request id
+    unmatched_attempts: list[Attempt] = field(default_factory=list)  # with a request id that no client sent
     list_updates: dict[int, list[Told]] = field(default_factory=lambda: defaultdict(list))
     events: list[Happened] = field(default_factory=list)
     overload_failures: list[Fell] = field(default_factory=list)
@@ -82,22 +87,22 @@
     faults: list[tuple[Fault, Span]] = field(default_factory=list)
     node_downtimes: dict[int, list[Span]] = field(
         default_factory=lambda: defaultdict(list)
-    )  # a node did not run
+    )  # killed, stopped or draining
     node_starts: dict[int, list[Happened]] = field(default_factory=lambda: defaultdict(list))
     regions: dict[str, list[int]] = field(default_factory=dict)
 
     def link_was_disturbed(self, caller: str, callee: str, start: float, end: float) -> bool:
-        """Whether the link between two processes was at fault in that time."""
+        """Whether a fault affected the link between two processes at some time from start to end."""
         ends = [set(names(name, self.plan, self.regions)) for name in (caller, callee)]
         return any(any(fault.on(*ends)) and span.overlaps(start, end) for fault, span in self.faults)
 
     def node_was_down(self, node: int, start: float, end: float) -> bool:
-        """Whether a node was killed, stopped or told to end in that time, or before and not back yet."""
+        """Whether a node was down at some time from start to end: killed, stopped or asked to terminate."""
         return any(span.overlaps(start, end) for span in self.node_downtimes[node])
 
 
 def build_trace(records: Iterable[Record], plan: Plan, regions: dict[str, list[int]]) -> Trace:
-    """The story of a play's records, in whatever order they come."""
+    """Join the records of a play, given in any order."""
     trace = Trace(plan, regions=regions)
     records_by_type: dict[type, list[Record]] = defaultdict(list)
     for record in records:
@@ -120,7 +125,7 @@
 
 
 def collect_link_faults(trace: Trace, records: list[Record]) -> None:
-    """When each fault of links began and ended."""
+    """Collect the time span of each link fault."""
     open_spans: dict[tuple[str, str, str, str], Span] = {}
     for record in records:
         if not isinstance(record, Disturbed):
@@ -142,7 +147,7 @@
 
 
 def collect_node_downtimes(trace: Trace) -> None:
-    """When each node did not run; one that was told to end is away until it is ready again."""
+    """Collect when each node was down; one that was asked to terminate is down until it is ready again."""
     open_spans: dict[int, Span] = {}
     for event in trace.events:
         kind, _, number = event.whom.partition(":")
@@ -160,6 +165,7 @@
 
 
 def add_tries(trace: Trace, records_by_type: dict[type, list[Record]]) -> None:
+    """Join each try with the node of its connection and with its first response."""
     assignments: dict[tuple[int, int], list[Dealt]] = defaultdict(list)
     for record in records_by_type[Dealt]:
         if isinstance(record, Dealt):
@@ -168,7 +174,7 @@
         if isinstance(record, Asked):
             candidates = assignments[record.zone, record.port]
             earlier = [dealt for dealt in candidates if dealt.at <= record.at]
-            # The kernel takes a connection, and a first request on it, before the front comes to it.
+            # The kernel accepts a connection and its first request before the balancer assigns it to a node.
             assignment = next(iter(earlier[-1:] or candidates), None)
             trace.tries[record.id] = TryTrace(record, assignment.node if assignment else -1)
     for record in records_by_type[Answered]:
@@ -178,6 +184,7 @@
 
 
 def add_attempts(trace: Trace, records_by_type: dict[type, list[Record]]) -> None:
+    """Join each request at a job server with the link it came over, its end and the try it belongs to."""
     turns_by_connection: dict[tuple[str, int, int], list[Turn]] = defaultdict(list)
     for record in records_by_type[Turn]:
         if isinstance(record, Turn):
@@ -213,7 +220,8 @@
         if end is not None:
             attempt.ended_at, attempt.result = end.at, end.result
         for times in (close_times[callee, record.port], kill_times[callee]):
-            # From its first byte on: a stopped server reads only afterwards what was given up meanwhile.
+            # Counted from the first byte, not from the arrival: a stopped server reads a request only after
+            # it goes on, and the node may have closed the connection before.
             next_index = bisect_right(times, attempt.started_at)
             if next_index < len(times):
                 attempt.ended_at = min(attempt.ended_at, times[next_index])
--- a/tests/test_rig_report.py
+++ b/tests/test_rig_report.py
@@ -12,7 +12,7 @@
 
 from flaxstep.cli import main
 from flaxstep.faultbench.report import report
-from flaxstep.faultbench.result import Line, Result, Second
+from flaxstep.faultbench.result import Result, Second, TableRow
 from flaxstep.faultbench.rule_checks import Breach
 from flaxstep.faultbench.schedule import Schedule
 from flaxstep.simulator.sampling import draw_plan
@@ -89,7 +89,7 @@
 
 
 def test_the_page_stands_alone_and_says_what_broke() -> None:
-    lines = [Line("a <b>", asked=10.0, earned=5.0, in_time=3), Line("c")]
+    lines = [TableRow("a <b>", asked=10.0, earned=5.0, in_time=3), TableRow("c")]
     verdict = Verdict(0.5, 0.6, 0.4, 1, 0.5, 0.5, {}, {}, {}, 1)
     second = Second(10.0, 5.0, [1, 0], [0, 2], [0.5, 3.0, 1.0])
     outcomes = Outcomes(*([0, 0] for _ in range(6)))
