--- a/flaxstep/cli_faultbench.py
+++ b/flaxstep/cli_faultbench.py
@@ -31,7 +31,7 @@
 from flaxstep.faultbench.result import Result, TableRow, judge_play, write_result
 from flaxstep.faultbench.runner import play
 from flaxstep.faultbench.soak.runner import SoakOutcome, soak
-from flaxstep.faultbench.soak.timeline import report
+from flaxstep.faultbench.soak.timeline import describe_breaches
 from flaxstep.simulator.scenario import ScenarioError, read_scenario
 
 CASES = ("in_time", "late", "refused", "failed", "unserved")
@@ -79,7 +79,7 @@
     numbers = list(range(plays)) if only is None else [only]
     folder = folder_for(out, "soak", seed)
     outcomes = asyncio.run(run_soak(seed, numbers, seconds, side_by_side, folder))
-    not_run = sum(bool(outcome.trouble) for outcome in outcomes)
+    not_run = sum(bool(outcome.not_run_reason) for outcome in outcomes)
     broken = sum(bool(outcome.breaches) for outcome in outcomes)
     click.echo(f"{len(outcomes)} plays: {broken} broke a rule, {not_run} not run; records in {folder}")
     sys.exit(1 if broken or not_run > NOT_RUN_PART * len(outcomes) else 0)
@@ -92,13 +92,13 @@
     outcomes = []
     async for outcome in soak(seed, numbers, seconds, side_by_side, folder):
         outcomes.append(outcome)
-        drawn = outcome.drawn
-        farm = f"{drawn.nodes} nodes, {drawn.servers} servers, {drawn.zones} zones"
-        click.echo(f"play {drawn.number}: {outcome.verdict}; {farm}; {'; '.join(drawn.faults)}")
+        drawn_play = outcome.drawn_play
+        farm = f"{drawn_play.nodes} nodes, {drawn_play.servers} servers, {drawn_play.zones} zones"
+        click.echo(f"play {drawn_play.number}: {outcome.verdict}; {farm}; {'; '.join(drawn_play.faults)}")
         if outcome.breaches:
-            again = f"flaxstep rig soak --seed {seed} --only {drawn.number} --seconds {seconds:g}"
+            again = f"flaxstep rig soak --seed {seed} --only {drawn_play.number} --seconds {seconds:g}"
             click.echo(f"  again: {again}")
-            for line in report(outcome.folder / "records", outcome.breaches):
+            for line in describe_breaches(outcome.folder / "records", outcome.breaches):
                 click.echo(f"  {line}")
     return outcomes
 
--- a/flaxstep/faultbench/soak/__init__.py
+++ b/flaxstep/faultbench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: drawn farms, drawn traffic and drawn faults on real processes, judged by the rig's rules."""
+"""The soak test: random farms, traffic and faults on real processes, checked against the rules."""
--- a/flaxstep/faultbench/soak/timeline.py
+++ b/flaxstep/faultbench/soak/timeline.py
@@ -1,4 +1,4 @@
-"""One breach as every process saw it: what each wrote down of the request, its server and its node."""
+"""The timeline of a breach: what every process recorded of its request, server and node."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 )
 from flaxstep.faultbench.rule_checks import Breach
 
-BEFORE, AFTER = 8000.0, 2000.0  # ms round the breach of which the farm's events are shown
+SHOWN_BEFORE_MS, SHOWN_AFTER_MS = 8000.0, 2000.0  # period around a breach whose events are shown
 
 
-def timeline(folder: Path, breach: Breach) -> list[str]:
-    """Lines in order of time."""
-    found = [record for record in read_records(folder) if concerns(record, breach)]
-    found.sort(key=lambda record: record.at)
-    return [f"{record.at / 1000:9.3f} s  {words(record)}" for record in found]
+def build_timeline(folder: Path, breach: Breach) -> list[str]:
+    """The records that concern a breach, one line each, in order of time."""
+    records = [record for record in read_records(folder) if is_relevant(record, breach)]
+    records.sort(key=lambda record: record.at)
+    return [f"{record.at / 1000:9.3f} s  {describe_record(record)}" for record in records]
 
 
-def concerns(record: Record, breach: Breach) -> bool:
-    """Whether a record is of the breach's request, or of what its server and node met near that time."""
+def is_relevant(record: Record, breach: Breach) -> bool:
+    """Whether a record is of the breach's request, or of an event of its server or node near that time."""
     if breach.request and getattr(record, "id", "") == breach.request:
         return True
-    if not breach.at - BEFORE <= record.at <= breach.at + AFTER:
+    if not breach.at - SHOWN_BEFORE_MS <= record.at <= breach.at + SHOWN_AFTER_MS:
         return False
     if isinstance(record, Happened):
         return record.whom in (f"node:{breach.node}", f"server:{breach.server}", "discovery")
@@ -45,8 +45,8 @@
     return isinstance(record, Disturbed)
 
 
-def words(record: Record) -> str:
-    """A record in one line."""
+def describe_record(record: Record) -> str:
+    """Describe a record in one line."""
     if isinstance(record, Asked):
         return f"client: request {record.id} written, its time ends at {record.due / 1000:.3f} s"
     if isinstance(record, Began):
@@ -65,13 +65,13 @@
     return f"{type(record).__name__.lower()}: {msgspec.json.encode(record).decode()}"
 
 
-def report(folder: Path, breaches: list[Breach]) -> Iterator[str]:
-    """The first breach of each rule with its timeline."""
-    seen: set[str] = set()
+def describe_breaches(folder: Path, breaches: list[Breach]) -> Iterator[str]:
+    """Describe the first breach of each rule, with its timeline."""
+    rules_shown: set[str] = set()
     for breach in breaches:
-        if breach.rule in seen:
+        if breach.rule in rules_shown:
             continue
-        seen.add(breach.rule)
+        rules_shown.add(breach.rule)
         place = f"node {breach.node}, request {breach.request or '-'}, server {breach.server}"
         yield f"{breach.rule} at {breach.at / 1000:.3f} s, {place}: {breach.what}"
-        yield from (f"    {line}" for line in timeline(folder, breach))
+        yield from (f"    {line}" for line in build_timeline(folder, breach))
--- a/tests/test_rig_report.py
+++ b/tests/test_rig_report.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from flaxstep.cli import main
-from flaxstep.faultbench.report import report
+from flaxstep.faultbench.report import render_report
 from flaxstep.faultbench.result import Result, Second, TableRow
 from flaxstep.faultbench.rule_checks import Breach
 from flaxstep.faultbench.schedule import Schedule
@@ -100,8 +100,8 @@
         "day & night", 7, 12, 100, 120, verdict, outcomes, lines, lines, lines, [second] * 12, took, {}, 4,
         bands, broken, 1, 0, 0,
     )  # fmt: skip
-    page = report(result)
-    assert page == report(result)  # the same bytes again
+    page = render_report(result)
+    assert page == render_report(result)  # the same bytes again
     assert (
         "day &amp; night" in page
         and "a &lt;b&gt;" in page
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,8 +14,8 @@
 from flaxstep.faultbench.records import Asked, Began, Happened, Record, Recorder, Told
 from flaxstep.faultbench.rule_checks import Breach, drain_enforced_from
 from flaxstep.faultbench.soak.runner import SoakOutcome
-from flaxstep.faultbench.soak.sampling import CALM_S, MOST_FAULTS, START_S, draw_play
-from flaxstep.faultbench.soak.timeline import report
+from flaxstep.faultbench.soak.sampling import CALM_S, MAX_FAULTS, START_S, draw_play
+from flaxstep.faultbench.soak.timeline import describe_breaches
 from flaxstep.faultbench.trace import FOREVER, Attempt, build_trace
 from flaxstep.simulator.sampling import draw_plan
 from flaxstep.simulator.scenario import Rules, parse_scenario
@@ -28,7 +28,7 @@
     drawn = draw_play(seed, number, seconds)
     scenario = parse_scenario(drawn.scenario)
     assert drawn == draw_play(seed, number, seconds)
-    assert 1 <= len(drawn.faults) <= MOST_FAULTS
+    assert 1 <= len(drawn.faults) <= MAX_FAULTS
     assert 1 <= scenario.fleet.nodes <= 6 and 1 <= scenario.fleet.zones <= 3
     for fault in scenario.rig.faults:
         assert isinstance(fault.at_s, float | int) and isinstance(fault.for_s, float | int)
@@ -83,19 +83,19 @@
         recorder.write(record)
     recorder.close()
     breaches = [Breach("drain", at, 0, "ab", 3, "453 ms past the grace") for at in (2003.0, 2500.0)]
-    first, *lines = report(tmp_path, breaches)
+    first, *lines = describe_breaches(tmp_path, breaches)
     assert first == "drain at 2.003 s, node 0, request ab, server 3: 453 ms past the grace"
     assert [line.split()[0] for line in lines] == ["1.000", "1.500", "2.000", "2.004"]
     assert "leaving" in lines[0] and "stopped" in lines[1] and "came whole" in lines[3]
 
 
-@pytest.mark.parametrize(("trouble", "breaches"), [("", 0), ("too busy", 0)])
+@pytest.mark.parametrize(("not_run_reason", "breaches"), [("", 0), ("too busy", 0)])
 def test_a_play_that_was_not_played_properly_is_no_verdict(
-    trouble: str, breaches: int, tmp_path: Path
+    not_run_reason: str, breaches: int, tmp_path: Path
 ) -> None:
-    outcome = SoakOutcome(draw_play(1, 0, 10.0), tmp_path, None, trouble)
+    outcome = SoakOutcome(draw_play(1, 0, 10.0), tmp_path, None, not_run_reason)
     assert len(outcome.breaches) == breaches
-    assert outcome.verdict.startswith("not run" if trouble else "rules kept")
+    assert outcome.verdict.startswith("not run" if not_run_reason else "rules kept")
 
 
 def test_two_plays_of_one_seed_in_one_second_have_folders_of_their_own(
@@ -112,4 +112,4 @@
     told = capsys.readouterr().out
     assert len(outcomes) == PLAYS
     assert not [outcome for outcome in outcomes if outcome.breaches], told
-    assert sum(bool(outcome.trouble) for outcome in outcomes) <= max(1, NOT_RUN_PART * PLAYS), told
+    assert sum(bool(outcome.not_run_reason) for outcome in outcomes) <= max(1, NOT_RUN_PART * PLAYS), told
