--- a/flaxstep/faultbench/result.py
+++ b/flaxstep/faultbench/result.py
@@ -132,11 +132,11 @@
             self.within_quota.append(within_quota)
             self.worth.append(worth)
             second = min(int(at / 1000), self.seconds - 1)
-            self.scorer.ask(second, cls, tenant, worth, within_quota)
+            self.scorer.record_request(second, cls, tenant, worth, within_quota)
             self.by_second[second].asked += worth
             for row in self.rows_of(first):
                 row.asked += worth
-            self.scorer.bill.asked_work += tries.work[first]
+            self.scorer.counters.requested_work_ms += tries.work[first]
 
     def count_tries(self) -> None:
         """Count each try by its outcome, and the requests of which no try was served."""
@@ -157,10 +157,12 @@
 
     def count_attempts(self, try_trace: TryTrace) -> None:
         """Count a try's attempts, and those that went to another zone."""
-        bill, zones = self.scorer.bill, self.plan.node_zones
+        counters, zones = self.scorer.counters, self.plan.node_zones
         for attempt in try_trace.attempts:
-            bill.attempts += 1
-            bill.across += zones[attempt.node] != self.plan.servers[attempt.arrival.server].zone
+            counters.attempts += 1
+            counters.cross_zone_attempts += (
+                zones[attempt.node] != self.plan.servers[attempt.arrival.server].zone
+            )
 
     def count_response(self, try_trace: TryTrace) -> bool:
         """Count a try by its outcome. True if its client was served."""
@@ -171,7 +173,7 @@
         second = self.by_second[max(0, min(int(response.at / 1000), self.seconds - 1))]
         if response.status == -1 or response.at > sent.due:
             self.outcomes.given_up[sent.cls] += 1
-            self.scorer.bill.late_lost += self.worth[first] * (
+            self.scorer.counters.late_unserved_worth += self.worth[first] * (
                 response.at > sent.began + request_class.aim_ms
             )
             return False
@@ -195,7 +197,9 @@
         )
         (self.outcomes.in_time if in_time else self.outcomes.late)[sent.cls] += 1
         worth, second = earned_share * self.worth[first], min(int(sent.began / 1000), self.seconds - 1)
-        self.scorer.earn(second, sent.cls, self.plan.tries.tenant[first], worth, self.within_quota[first])
+        self.scorer.record_served(
+            second, sent.cls, self.plan.tries.tenant[first], worth, self.within_quota[first]
+        )
         self.by_second[second].earned += worth
         self.latencies_ms[sent.cls].append(latency_ms)
         for row in self.rows_of(first):
@@ -247,8 +251,8 @@
     trace = build_trace(read_records(folder), plan, scenario.rig.regions)
     counter = ResultCounter(scenario, plan, trace)
     rule_breaches = find_breaches(trace, scenario)
-    counter.scorer.broken = len(rule_breaches)
-    verdict = counter.scorer.verdict(
+    counter.scorer.breach_count = len(rule_breaches)
+    verdict = counter.scorer.compute_verdict(
         counter.useful_work_ms, counter.done_work_ms, len(counter.slowed_servers) / len(plan.servers)
     )
     length_s = plan.length / 1000
@@ -274,7 +278,7 @@
             for c, latencies_ms in zip(scenario.classes, counter.latencies_ms, strict=True)
         },
         lateness_ms=percentiles(counter.lateness_ms, 50, 99, 100),
-        crossings=counter.scorer.bill.across,
+        crossings=counter.scorer.counters.cross_zone_attempts,
         bands=bands,
         breaches=rule_breaches[:MAX_LISTED_BREACHES],
         broken=len(rule_breaches),
--- a/flaxstep/faultbench/rule_checks.py
+++ b/flaxstep/faultbench/rule_checks.py
@@ -15,7 +15,7 @@
 from flaxstep.faultbench.clients import CROSSED_CLOSE_MS
 from flaxstep.faultbench.farm_config import server_id
 from flaxstep.faultbench.trace import FOREVER, Attempt, Trace, TryTrace
-from flaxstep.simulator.scenario import Class, Rules, Scenario
+from flaxstep.simulator.scenario import ClassConfig, Rules, Scenario
 
 SOCKET_SLACK_MS = 50.0  # added to each limit
 LOST_AFTER_DUE_MS = 500.0  # a response that comes this long after its try is due counts as lost
@@ -83,7 +83,9 @@
     )
 
 
-def repeat_is_dropped(trace: Trace, request_class: Class, first_server: int, second_server: int) -> bool:
+def repeat_is_dropped(
+    trace: Trace, request_class: ClassConfig, first_server: int, second_server: int
+) -> bool:
     """Whether a repeat at the second server is dropped, since both are in one idempotency group."""
     first, second = trace.plan.servers[first_server], trace.plan.servers[second_server]
     if request_class.group == "cell":
--- a/flaxstep/faultbench/soak/sampling.py
+++ b/flaxstep/faultbench/soak/sampling.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 
 START_S = 2.0  # no fault begins earlier, so that traffic flows before it
 CALM_S = 3.0  # no fault lasts into the end of a play, so that its effects can show
@@ -95,7 +95,7 @@
 
 def draw_play(seed: int, number: int, seconds: float) -> DrawnPlay:
     """Draw one play of a soak."""
-    draw = PlayDraw(Streams(seed).generator(f"soak {number}"), seconds)
+    draw = PlayDraw(RandomStreams(seed).generator(f"soak {number}"), seconds)
     draw.zones = draw.integer(1, 3)
     draw.nodes = draw.integer(1, 6)
     draw.servers = draw.integer(max(3, 2 * draw.zones), 8)
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -27,7 +27,7 @@
 )
 from flaxstep.proxy.config import Address, Config
 from flaxstep.proxy.discovery import Discovery
-from flaxstep.proxy.event_log import event as log_event
+from flaxstep.proxy.event_log import log_event
 from flaxstep.proxy.member_list import Endpoint, MemberList, MemberListReader
 from flaxstep.proxy.metrics import Metrics, ServerMetrics
 from flaxstep.proxy.request_bodies import MAX_REQUEST_BODY_BYTES, BodyBudget
@@ -126,7 +126,13 @@
         self.by_server = ServerMetrics(self.figures.classes)
         self.body_budget = BodyBudget((config.memory_mb << 20) // BODIES)
         self.pool = ServerPool(
-            loop, config.dial_timeout, config.idle_timeout, servers, self, self.figures, self.body_budget
+            loop,
+            config.dial_timeout_ms,
+            config.idle_timeout_ms,
+            servers,
+            self,
+            self.figures,
+            self.body_budget,
         )
         self.listener = Listener(loop, config, self, clients, self.body_budget)
         self.lists = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
@@ -148,13 +154,13 @@
             Log: self.log,
             Subscribe: self.subscribe,
         }
-        self.handover = SharedState(config.shared, config.name, self.take_shared)
+        self.handover = SharedState(config.shared_folder, config.name, self.take_shared)
         if config.admin is not None:
             self.handover.start()  # before the list: who is out must not be sent anything
         self.tell(DiscoveryReach(Reach.STARTED))
-        if config.known.get("instances"):
+        if config.known_list.get("instances"):
             try:
-                self.discovery.version = self.take_members(config.known, ListKind.CACHED)
+                self.discovery.version = self.take_members(config.known_list, ListKind.CACHED)
             except ValueError as error:
                 log.warning("the known list is malformed: %s", error)
 
@@ -212,7 +218,7 @@
         if held is not None:
             log_event("answered", request=held.message.request_id, status=status)
             self.figures.ended(held.cls, status)
-            held.client.answer(status, extra=extra)
+            held.client.send_response(status, extra_headers=extra)
 
     def release(self, request_id: int) -> PendingRequest | None:
         """Nothing is owed any more, and no connection that still comes up carries the request."""
@@ -241,12 +247,12 @@
         self.last_id += 1
         request_id = client.request_id = self.last_id
         upload = request.message.upload
-        uploading = upload is not None and not upload.whole
-        due = max(request.sent, now_ms() if upload is not None else 0.0) + request.timeout - MARGIN
+        uploading = upload is not None and not upload.complete
+        due = max(request.sent_at_ms, now_ms() if upload is not None else 0.0) + request.timeout_ms - MARGIN
         if uploading:
             due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
         self.held[request_id] = PendingRequest(
-            client, request.message, request.cls, due, request.timeout, uploading
+            client, request.message, request.cls, due, request.timeout_ms, uploading
         )
         cls, key, tenant = request.cls, request.key, request.tenant
         log_event(
@@ -256,7 +262,11 @@
             cls=cls,
             ms_left=due - now_ms(),
         )
-        self.tell(Request(request_id, cls, due, key, tenant, request.hint, request.repeat, uploading))
+        self.tell(
+            Request(
+                request_id, cls, due, key, tenant, request.work_hint_ms, request.is_client_retry, uploading
+            )
+        )
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
         held = self.held.get(request_id)
@@ -296,7 +306,7 @@
             del self.held[request_id]
             log_event("answered", request=held.message.request_id, status=200)
             self.figures.ended(held.cls, 200)
-            held.client.answer(200, answer.body, answer.content_type)
+            held.client.send_response(200, answer.body, answer.content_type)
         over, elapsed = request_id not in self.held, now_ms() - attempt.started
         log_event(
             "attempt_ended",
@@ -310,7 +320,7 @@
         if held is not None and result is not Result.CANCELLED:
             self.by_server.ended(attempt.server.id, held.cls, result, elapsed)
         upload = attempt.message.upload
-        spent = upload is not None and upload.spent
+        spent = upload is not None and upload.partly_sent
         self.tell(Outcome(request_id, attempt.server.id, over, result, attempt.number, elapsed, spent=spent))
 
     def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
@@ -430,7 +440,8 @@
     def report(self, _: bytes) -> Reply:
         avoided = self.listed & self.policy.find_avoided_servers(now_ms())
         gauges = {
-            "outstanding": sum(not held.uploading for held in self.held.values()) + self.listener.waiting(),
+            "outstanding": sum(not held.uploading for held in self.held.values())
+            + self.listener.count_queued_requests(),
             "discovered": len(self.listed),
             "ejected": len(avoided),
         }
@@ -511,7 +522,7 @@
     def share_room(self) -> None:
         """Two processes are one node: each keeps to half of what it may hold."""
         parts = 2 if self.handover.others else 1
-        self.body_budget.budget = (self.config.memory_mb << 20) // BODIES // parts
+        self.body_budget.total_bytes = (self.config.memory_mb << 20) // BODIES // parts
         clients, servers = connection_limits(self.config.sockets // parts)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
@@ -586,17 +597,17 @@
         if self.server is not None:
             self.listener.close_idle()
             await asyncio.sleep(ACCEPT_FOR)
-            self.listener.stop()
+            self.listener.stop_accepting()
         # Whoever has not sent its whole request by then can't have its time before SIGKILL may come.
         await self.emptied(begun + TAKE_FOR)
-        self.listener.turn_away()
+        self.listener.reject_unfinished_requests()
         await self.emptied(begun + DRAIN_MOST)
         self.close()  # the list is followed to the end: what is held may still be sent again
         log.info("stopped")
 
     async def emptied(self, until: float) -> None:
         """Wait until all clients have their answers and have closed, or until then by the loop's clock."""
-        while self.listener.occupied and self.loop.time() < until:
+        while self.listener.has_clients and self.loop.time() < until:
             self.listener.close_idle()
             await asyncio.sleep(DRAIN_LOOK)
 
--- a/flaxstep/rollout/io/executor.py
+++ b/flaxstep/rollout/io/executor.py
@@ -1,4 +1,4 @@
-"""Carries out acts: calls at doors, pings, and commands."""
+"""Performs actions: calls to admin ports, pings, and commands."""
 
 from __future__ import annotations
 
@@ -9,66 +9,76 @@
 
 from flaxstep.rollout.actions import Action, ActionKind, ActionResult
 from flaxstep.rollout.farm import Farm
-from flaxstep.rollout.io.child_processes import end_with
-from flaxstep.rollout.io.http_client import text
-from flaxstep.rollout.plan import Plan, command
+from flaxstep.rollout.io.child_processes import kill_with_parent
+from flaxstep.rollout.io.http_client import call_text
+from flaxstep.rollout.plan import Plan, command_line
 from flaxstep.rollout.snapshot import Snapshot
 
-OUTPUT = 64 << 10  # bytes of a command's output that are kept
+MAX_OUTPUT_BYTES = 64 << 10  # of the output of a command
 
 
 class Executor:
-    """`view` is the newest look: where servers listen, and which doors answer."""
+    """Performs actions. `snapshot` is the newest one; it has the addresses of the job servers."""
 
     def __init__(self, farm: Farm, plan: Plan) -> None:
         self.farm, self.plan = farm, plan
-        self.view: Snapshot | None = None
+        self.snapshot: Snapshot | None = None
 
-    async def do(self, act: Action) -> ActionResult:
-        """What an act comes to. Nothing that goes wrong outside is an exception here."""
-        if act.do in (ActionKind.CORDON, ActionKind.UNCORDON):
-            return await self.everywhere(act.do.value, act.member)
-        if act.do is ActionKind.PING:
-            return await self.ping(act.member)
+    async def perform(self, action: Action) -> ActionResult:
+        """Perform an action. External failures are part of the result, not exceptions."""
+        if action.kind in (ActionKind.CORDON, ActionKind.UNCORDON):
+            return await self.call_all_nodes(action.kind.value, action.member)
+        if action.kind is ActionKind.PING:
+            return await self.ping(action.member)
         commands = self.plan.commands
         words = {
-            ActionKind.RUN: commands.restart,
+            ActionKind.RESTART: commands.restart,
             ActionKind.STOP: commands.stop,
-            ActionKind.ASK: commands.version,
+            ActionKind.VERSION: commands.version,
             ActionKind.CHECK: commands.check,
-        }[act.do]
-        assert words is not None, "the plan has the commands that its steps ask for"
-        return await run(command(words, act.member, act.version, act.door), commands.time_limit_s)
+        }[action.kind]
+        assert words is not None, "the plan has every command that its steps use"
+        return await run_command(
+            command_line(words, action.member, action.version, action.admin_address), commands.time_limit_s
+        )
 
-    async def everywhere(self, what: str, server: str) -> ActionResult:
-        """A call for a job server at every node: yes if all say yes."""
-        said = await asyncio.gather(*(self.at_node(node.doors, what, server) for node in self.farm.nodes))
-        noes = [
-            f"{node.name}: {why}" for node, why in zip(self.farm.nodes, said, strict=True) if why is not None
+    async def call_all_nodes(self, call: str, server: str) -> ActionResult:
+        """Make an admin call for a job server at every node; it succeeds if all nodes accept it."""
+        outcomes = await asyncio.gather(
+            *(self.call_node(node.doors, call, server) for node in self.farm.nodes)
+        )
+        failures = [
+            f"{node.name}: {why}"
+            for node, why in zip(self.farm.nodes, outcomes, strict=True)
+            if why is not None
         ]
-        return ActionResult(not noes, "; ".join(noes))
+        return ActionResult(not failures, "; ".join(failures))
 
-    async def at_node(self, doors: tuple[str, ...], what: str, server: str) -> str | None:
-        """Why a node did not say yes; its processes share what one of them is told."""
+    async def call_node(self, admin_addresses: tuple[str, ...], call: str, server: str) -> str | None:
+        """Why a node did not accept a call, or None. One process is enough: processes of a node share
+        cordons.
+        """
         why = ""
-        for door in doors:
-            status, answer = await text(door, "POST", f"/admin/{what}", server.encode())
-            # A node that does not know the server has nothing to call back.
-            if 200 <= status < 300 or (status == 404 and what == "uncordon"):
+        for admin_address in admin_addresses:
+            status, body = await call_text(admin_address, "POST", f"/admin/{call}", server.encode())
+            # A node that does not know the server has no cordon to remove.
+            if 200 <= status < 300 or (status == 404 and call == "uncordon"):
                 return None
-            why = f"{status} {answer}" if status else why or answer
+            why = f"{status} {body}" if status else why or body
         return why
 
     async def ping(self, server: str) -> ActionResult:
-        line = (self.view.listed or {}).get(server) if self.view is not None else None
+        line = (self.snapshot.listed or {}).get(server) if self.snapshot is not None else None
         if line is None:
             return ActionResult(False, "not in the list")
-        status, answer = await text(line.address, "GET", "/ping")
-        return ActionResult(status == 200, answer if status in (0, 200) else f"{status} to a ping")
+        status, body = await call_text(line.address, "GET", "/ping")
+        return ActionResult(status == 200, body if status in (0, 200) else f"{status} to a ping")
 
 
-async def run(words: list[str], seconds: float) -> ActionResult:
-    """A command without a shell; what it wrote, or the last line of its errors. It is killed at its limit."""
+async def run_command(words: list[str], seconds: float) -> ActionResult:
+    """Run a command without a shell. The result has its output, or the last line of its errors. It is killed
+    at the time limit.
+    """
     parent = os.getpid()
     try:
         process = await asyncio.create_subprocess_exec(
@@ -77,7 +87,7 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
             start_new_session=True,
-            preexec_fn=lambda: end_with(parent),
+            preexec_fn=lambda: kill_with_parent(parent),
         )
     except OSError as error:
         return ActionResult(False, f"{words[0]}: {error.strerror}")
@@ -85,19 +95,19 @@
         async with asyncio.timeout(seconds):
             out, errors = await process.communicate()
     except TimeoutError:
-        await kill(process)
-        return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", known=False)
-    except BaseException:  # the controller ends: so does what it runs
-        await kill(process)
+        await kill_process_group(process)
+        return ActionResult(False, f"{words[0]}: not done after {seconds:g} s", outcome_known=False)
+    except BaseException:  # the controller is cancelled: its commands end with it
+        await kill_process_group(process)
         raise
-    last = (errors[-OUTPUT:].decode(errors="replace").strip().splitlines() or [""])[-1]
+    last = (errors[-MAX_OUTPUT_BYTES:].decode(errors="replace").strip().splitlines() or [""])[-1]
     if process.returncode:
         return ActionResult(False, f"{words[0]}: exit code {process.returncode} {last}".strip())
-    return ActionResult(True, out[:OUTPUT].decode(errors="replace").strip())
+    return ActionResult(True, out[:MAX_OUTPUT_BYTES].decode(errors="replace").strip())
 
 
-async def kill(process: asyncio.subprocess.Process) -> None:
-    """The command and what it started in its session, by the session's own id."""
+async def kill_process_group(process: asyncio.subprocess.Process) -> None:
+    """Kill a command and the processes that it started in its session."""
     with suppress(ProcessLookupError):
         os.killpg(process.pid, signal.SIGKILL)
     await asyncio.shield(process.wait())
--- a/flaxstep/rollout/member_steps.py
+++ b/flaxstep/rollout/member_steps.py
@@ -1,8 +1,9 @@
-"""The steps of one member, there and back. Pure: told the time, what was seen and what acts came to, it says
-what is to be done next.
+"""The steps that update one member, or roll it back. Pure: the inputs are the time, snapshots and the results
+of actions, the output is the next action.
 
-A job server is cordoned at every node, emptied, restarted by a command, proved, called back, and is cold for
-a while. A node gets a second process, proved at a door of its own, before the first is told to end.
+A job server is cordoned at every node, drained, restarted by a command, verified, uncordoned, and is cold for
+a while. A node gets a second process, which is verified at an admin address of its own before the first is
+asked to stop.
 """
 
 from __future__ import annotations
@@ -20,288 +21,318 @@
 )
 from flaxstep.rollout.snapshot import Snapshot
 
-MOST_TRIES = 3  # commands for one member and direction that left no trace
+MAX_RESTART_TRIES = 3  # restart commands without effect, for one member and direction
 
 
 class MemberSteps(Protocol):
-    """How members of a kind are released."""
+    """The update procedure of one kind of member."""
 
-    def begin(self, member: MemberState, target: str, now: float) -> None: ...
-    def undo(self, member: MemberState, now: float, note: str) -> None: ...
-    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None: ...
-    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None: ...
-    def recover(self, member: MemberState, act: Action, now: float) -> None: ...
+    def begin_update(self, member: MemberState, target: str, now: float) -> None: ...
+    def cancel_update(self, member: MemberState, now: float, note: str) -> None: ...
+    def next_action(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None: ...
+    def on_action_ended(
+        self, member: MemberState, action: Action, result: ActionResult, now: float
+    ) -> None: ...
+    def on_result_lost(self, member: MemberState, action: Action, now: float) -> None: ...
 
 
-class Steps:
-    """What both kinds share: the command, finding out what it did, and the proof."""
+class CommonSteps:
+    """What both kinds share: the restart command, finding out what it did, and the checks after it."""
 
-    def __init__(self, times: StepTimes, asks: AvailableCommands) -> None:
-        self.times, self.asks = times, asks
+    def __init__(self, times: StepTimes, available: AvailableCommands) -> None:
+        self.times, self.available = times, available
 
-    def paced(self, member: MemberState, act: Action, now: float) -> Action | None:
-        """The act, unless something was asked about the member a moment ago."""
-        if now - member.asked < self.times.again:
+    def rate_limited(self, member: MemberState, action: Action, now: float) -> Action | None:
+        """The action, or None if the member was queried less than a poll interval ago."""
+        if now - member.asked < self.times.poll_interval_s:
             return None
         member.asked = now
-        return act
+        return action
 
-    def restart(self, member: MemberState, now: float, door: str = "") -> Action:
+    def begin_restart(self, member: MemberState, now: float, admin_address: str = "") -> Action:
         member.lost, member.before = False, member.started
-        member.go(Phase.RESTARTING, now)
-        return Action(ActionKind.RUN, member.id, member.target, door)
+        member.enter_phase(Phase.RESTARTING, now)
+        return Action(ActionKind.RESTART, member.id, member.target, admin_address)
 
-    def recover(self, member: MemberState, act: Action, now: float) -> None:
-        """An act whose result nobody has. All but the command are simply made again."""
-        if act.do is ActionKind.RUN:
+    def on_result_lost(self, member: MemberState, action: Action, now: float) -> None:
+        """Handle an action whose result was lost with the controller. All but the restart are repeated."""
+        if action.kind is ActionKind.RESTART:
             member.lost = True
-            member.go(Phase.FINDING, now, "its command's result was lost with the controller")
+            member.enter_phase(
+                Phase.RESOLVING_RESTART, now, "its command's result was lost with the controller"
+            )
 
-    def warming(self, member: MemberState, now: float) -> None:
-        if now - member.since >= self.times.warm:
+    def wait_until_warm(self, member: MemberState, now: float) -> None:
+        if now - member.since >= self.times.warm_s:
             if member.note == "":
                 member.tries = 0
             member.target = ""
-            member.go(Phase.SERVING, now)
+            member.enter_phase(Phase.SERVING, now)
 
-    def fail(self, member: MemberState, now: float, fault: str) -> None:
-        """It is not fit to serve as what it should be."""
+    def mark_failed(self, member: MemberState, now: float, fault: str) -> None:
+        """Record that the member failed its checks with its target version."""
         member.fault = fault
-        member.go(Phase.DOWN, now, fault)
+        member.enter_phase(Phase.DOWN, now, fault)
 
 
-class ServerSteps(Steps):
-    """A job server's."""
+class ServerSteps(CommonSteps):
+    """The steps of a job server."""
 
-    def begin(self, member: MemberState, target: str, now: float) -> None:
-        """Outward, or straight to the command where it is out already."""
+    def begin_update(self, member: MemberState, target: str, now: float) -> None:
+        """Cordon the server first; if it is out of service already, go on with the restart."""
         member.target = target
         member.tries += 1
         if member.phase is Phase.DOWN:
-            member.go(Phase.AGAIN, now, "")
+            member.enter_phase(Phase.RESTART_PENDING, now, "")
         else:
-            member.go(Phase.TAKING_OUT, now, "")
+            member.enter_phase(Phase.CORDONING, now, "")
 
-    def undo(self, member: MemberState, now: float, note: str) -> None:
-        """Before the command: back to service as it was."""
+    def cancel_update(self, member: MemberState, now: float, note: str) -> None:
+        """Return the server to service unchanged. Only valid before its restart command."""
         member.target = member.version
-        member.go(Phase.RETURNING, now, note)
+        member.enter_phase(Phase.UNCORDONING, now, note)
 
-    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
+    def next_action(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
         phase = member.phase
-        if phase is Phase.TAKING_OUT:
+        if phase is Phase.CORDONING:
             return Action(ActionKind.CORDON, member.id)
-        if phase is Phase.EMPTYING:
-            return self.empty(member, view, now)
-        if phase is Phase.AGAIN:
-            return self.again(member, view, now)
-        if phase is Phase.FINDING:
-            return self.find(member, view, now)
-        if phase is Phase.PROVING:
-            return self.prove(member, view, now)
-        if phase is Phase.RETURNING:
-            return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
+        if phase is Phase.DRAINING:
+            return self.wait_until_drained(member, snapshot, now)
+        if phase is Phase.RESTART_PENDING:
+            return self.restart_again(member, snapshot, now)
+        if phase is Phase.RESOLVING_RESTART:
+            return self.resolve_restart(member, snapshot, now)
+        if phase is Phase.VERIFYING:
+            return self.verify(member, snapshot, now)
+        if phase is Phase.UNCORDONING:
+            return self.rate_limited(member, Action(ActionKind.UNCORDON, member.id), now)
         if phase is Phase.WARMING:
-            self.warming(member, now)
+            self.wait_until_warm(member, now)
         return None
 
-    def empty(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        """Nothing in flight, as every node said after the cordon: now the command."""
-        out = view.out(member.id) if view.at > member.since else None
-        if out is not None and not view.taken_out(member.id):
-            member.go(Phase.TAKING_OUT, now)  # a node has started anew and knows nothing of it
+    def wait_until_drained(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        """Wait until every node has reported, after the cordon, that nothing is in flight; then restart."""
+        in_flight = snapshot.in_flight(member.id) if snapshot.taken_at_s > member.since else None
+        if in_flight is not None and not snapshot.cordoned_everywhere(member.id):
+            member.enter_phase(Phase.CORDONING, now)  # a restarted node has lost the cordon
             return Action(ActionKind.CORDON, member.id)
-        if out == 0:
-            return self.restart(member, now)
-        if now - member.since > self.times.empty:
-            left = "not every node answers" if out is None else f"{out} requests are in flight there"
-            self.undo(member, now, f"not empty after {self.times.empty:g} s: {left}")
+        if in_flight == 0:
+            return self.begin_restart(member, now)
+        if now - member.since > self.times.drain_s:
+            remaining = (
+                "not every node responds"
+                if in_flight is None
+                else f"{in_flight} requests are in flight there"
+            )
+            self.cancel_update(member, now, f"not empty after {self.times.drain_s:g} s: {remaining}")
         return None
 
-    def again(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        """Out already, and not fit to come back: taken out once more, as a node may have forgotten."""
-        if now - member.since > self.times.empty:
-            self.fail(member, now, f"could not be restarted: {member.note or 'requests are in flight there'}")
+    def restart_again(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        """Restart a server that is out of service, and cordon it again first: a restarted node lost that."""
+        if now - member.since > self.times.drain_s:
+            self.mark_failed(
+                member, now, f"could not be restarted: {member.note or 'requests are in flight there'}"
+            )
             return None
         if member.proved == 0:
-            return self.paced(member, Action(ActionKind.CORDON, member.id), now)
-        return self.restart(member, now) if view.out(member.id) == 0 else None
+            return self.rate_limited(member, Action(ActionKind.CORDON, member.id), now)
+        return self.begin_restart(member, now) if snapshot.in_flight(member.id) == 0 else None
 
-    def find(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        """What its command did: the version that runs says it, or a start that the list tells of."""
-        if self.asks.version:
-            act = self.paced(member, Action(ActionKind.ASK, member.id, member.target), now)
+    def resolve_restart(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        """Find out what the restart command did: from the running version, or from the list."""
+        if self.available.version:
+            action = self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
         else:
-            act = None
-            line = (view.listed or {}).get(member.id)
-            if line is not None and line.started != member.before:
-                member.go(Phase.PROVING, now)
-        limit = self.times.command + self.times.settle
-        if member.phase is Phase.FINDING and now - member.since > limit:
-            self.without_trace(member, now)
+            action = None
+            line = (snapshot.listed or {}).get(member.id)
+            if line is not None and line.started_ms != member.before:
+                member.enter_phase(Phase.VERIFYING, now)
+        limit = self.times.command_s + self.times.list_update_s
+        if member.phase is Phase.RESOLVING_RESTART and now - member.since > limit:
+            self.on_restart_without_effect(member, now)
             return None
-        return act
-
-    def without_trace(self, member: MemberState, now: float) -> None:
-        """The command did nothing: it goes back as it was, to be tried again where only the result was
-        lost."""
-        if not member.lost or member.tries >= MOST_TRIES:
-            member.fault = member.note or "its command did nothing"
-        member.target, member.before = member.version, -1  # the list owes no news of a start
-        member.go(Phase.PROVING, now)
-
-    def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        """It answers, runs what it should, answers rightly, and is listed: in that order."""
-        if now - member.since > self.times.ready:
-            self.fail(member, now, f"not ready {self.times.ready:g} s after its restart: {member.note}")
+        return action
+
+    def on_restart_without_effect(self, member: MemberState, now: float) -> None:
+        """The restart had no effect: return the server as it was; try again if only the result was lost."""
+        if not member.lost or member.tries >= MAX_RESTART_TRIES:
+            member.fault = member.note or "its command had no effect"
+        member.target, member.before = member.version, -1  # -1: no new start time is expected in the list
+        member.enter_phase(Phase.VERIFYING, now)
+
+    def verify(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        """Check in this order: the server responds, runs the right version, responds correctly, is listed."""
+        if now - member.since > self.times.ready_s:
+            self.mark_failed(
+                member, now, f"not ready {self.times.ready_s:g} s after its restart: {member.note}"
+            )
             return None
         if member.proved == 0:
-            return self.paced(member, Action(ActionKind.PING, member.id), now)
-        if member.proved == 1 and self.asks.version:
-            return self.paced(member, Action(ActionKind.ASK, member.id, member.target), now)
-        if member.proved <= 2 and self.asks.check:
-            return self.paced(member, Action(ActionKind.CHECK, member.id, member.target), now)
-        line = (view.listed or {}).get(member.id)
-        fresh = line is not None and (line.started != member.before or now - member.since > self.times.settle)
-        if line is None or line.lifecycle != "active" or not fresh:
-            member.note = "the list does not have it yet"
+            return self.rate_limited(member, Action(ActionKind.PING, member.id), now)
+        if member.proved == 1 and self.available.version:
+            return self.rate_limited(member, Action(ActionKind.VERSION, member.id, member.target), now)
+        if member.proved <= 2 and self.available.check:
+            return self.rate_limited(member, Action(ActionKind.CHECK, member.id, member.target), now)
+        line = (snapshot.listed or {}).get(member.id)
+        start_is_listed = line is not None and (
+            line.started_ms != member.before or now - member.since > self.times.list_update_s
+        )
+        if line is None or line.lifecycle != "active" or not start_is_listed:
+            member.note = "not listed yet"
             return None
-        member.version, member.started = member.target, line.started
-        member.untold = line.started == member.before
-        member.go(Phase.RETURNING, now, "")
-        return self.paced(member, Action(ActionKind.UNCORDON, member.id), now)
+        member.version, member.started = member.target, line.started_ms
+        member.untold = line.started_ms == member.before
+        member.enter_phase(Phase.UNCORDONING, now, "")
+        return self.rate_limited(member, Action(ActionKind.UNCORDON, member.id), now)
 
-    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
-        if act.do is ActionKind.CORDON and member.phase is Phase.AGAIN:
+    def on_action_ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+        if action.kind is ActionKind.CORDON and member.phase is Phase.RESTART_PENDING:
             member.proved, member.note = int(result.ok), result.text
-        elif act.do is ActionKind.CORDON:
+        elif action.kind is ActionKind.CORDON:
             if result.ok:
-                member.go(Phase.EMPTYING, now)
+                member.enter_phase(Phase.DRAINING, now)
             else:
-                self.undo(member, now, f"not taken out: {result.text}")
-        elif act.do is ActionKind.UNCORDON:
+                self.cancel_update(member, now, f"not cordoned: {result.text}")
+        elif action.kind is ActionKind.UNCORDON:
             if result.ok:
-                member.go(Phase.WARMING, now)
+                member.enter_phase(Phase.WARMING, now)
             else:
-                member.note = f"not called back yet: {result.text}"
-        elif act.do is ActionKind.RUN:
-            member.go(Phase.PROVING if result.ok else Phase.FINDING, now, result.text)
-        elif member.phase is Phase.FINDING:
+                member.note = f"not uncordoned yet: {result.text}"
+        elif action.kind is ActionKind.RESTART:
+            member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
+        elif member.phase is Phase.RESOLVING_RESTART:
             if result.ok and result.text == member.target:
-                member.go(Phase.PROVING, now, "")
-        elif member.phase is Phase.PROVING:
-            self.proved(member, act, result, now)
+                member.enter_phase(Phase.VERIFYING, now, "")
+        elif member.phase is Phase.VERIFYING:
+            self.on_verification_result(member, action, result, now)
 
-    def proved(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
+    def on_verification_result(
+        self, member: MemberState, action: Action, result: ActionResult, now: float
+    ) -> None:
         member.note = "" if result.ok else result.text
-        if act.do is ActionKind.PING and result.ok:
+        if action.kind is ActionKind.PING and result.ok:
             member.proved = 1
-        elif act.do is ActionKind.ASK and result.ok:
+        elif action.kind is ActionKind.VERSION and result.ok:
             if result.text == member.target:
                 member.proved = 2
             else:
                 member.note = f"it runs {result.text}, not {member.target}"
-        elif act.do is ActionKind.CHECK:
+        elif action.kind is ActionKind.CHECK:
             if result.ok:
                 member.proved = 3
-            elif result.known:
+            elif result.outcome_known:
                 member.version = member.target
-                self.fail(member, now, f"it answers wrongly: {result.text}")
+                self.mark_failed(member, now, f"it answers wrongly: {result.text}")
 
 
-class NodeSteps(Steps):
-    """A node's: nothing is out at any time, if all goes well."""
+class NodeSteps(CommonSteps):
+    """The steps of a node. As the second process takes over from the first, no node is out of service."""
 
-    def begin(self, member: MemberState, target: str, now: float) -> None:
+    def begin_update(self, member: MemberState, target: str, now: float) -> None:
         member.target = target
         member.tries += 1
-        member.go(Phase.EMPTYING, now, "")
+        member.enter_phase(Phase.DRAINING, now, "")
 
-    def undo(self, member: MemberState, now: float, note: str) -> None:
+    def cancel_update(self, member: MemberState, now: float, note: str) -> None:
         member.target = ""
-        member.go(Phase.SERVING, now, note)
-
-    def doors(self, member: MemberState) -> tuple[str, str]:
-        """Where the process that serves has its door, and where a successor gets it."""
-        doors = self.asks.doors[member.id]
-        return doors[member.door], doors[(member.door + 1) % len(doors)]
-
-    def step(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        phase, node = member.phase, view.nodes[member.id]
-        if phase is Phase.EMPTYING and node.processes and node.at(self.doors(member)[0]) is None:
-            member.door = self.asks.doors[member.id].index(node.processes[0].door)  # restarted by others
-        before, after = self.doors(member)
-        if phase is Phase.EMPTYING:
-            if node.at(after) is not None:
-                self.undo(member, now, f"somebody's process has its door at {after} already")
+        member.enter_phase(Phase.SERVING, now, note)
+
+    def current_and_successor_address(self, member: MemberState) -> tuple[str, str]:
+        """The admin addresses of the running process and of its successor."""
+        addresses = self.available.admin_addresses[member.id]
+        return addresses[member.door], addresses[(member.door + 1) % len(addresses)]
+
+    def next_action(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        phase, node = member.phase, snapshot.nodes[member.id]
+        if (
+            phase is Phase.DRAINING
+            and node.processes
+            and node.process_at(self.current_and_successor_address(member)[0]) is None
+        ):
+            # The node was restarted by someone else, at another of its admin addresses.
+            member.door = self.available.admin_addresses[member.id].index(node.processes[0].admin_address)
+        current, successor = self.current_and_successor_address(member)
+        if phase is Phase.DRAINING:
+            if node.process_at(successor) is not None:
+                self.cancel_update(member, now, f"another process has its admin port at {successor} already")
                 return None
-            return self.restart(member, now, after)
-        if phase is Phase.FINDING:
-            if node.at(after) is not None:
-                member.go(Phase.PROVING, now)
-            elif now - member.since > self.times.command + self.times.settle:
-                if not member.lost or member.tries >= MOST_TRIES:
+            return self.begin_restart(member, now, successor)
+        if phase is Phase.RESOLVING_RESTART:
+            if node.process_at(successor) is not None:
+                member.enter_phase(Phase.VERIFYING, now)
+            elif now - member.since > self.times.command_s + self.times.list_update_s:
+                if not member.lost or member.tries >= MAX_RESTART_TRIES:
                     member.fault = member.note or "its command started nothing"
-                self.undo(member, now, member.note)
+                self.cancel_update(member, now, member.note)
             return None
-        if phase is Phase.PROVING:
-            return self.prove(member, view, now)
-        if phase is Phase.HANDING:
-            return self.paced(member, Action(ActionKind.STOP, member.id, member.version, before), now)
-        if phase is Phase.LEAVING:
-            self.leave(member, view, now)
-        if phase is Phase.DOWN:  # its second process never said yes: it ends, the first serves on
-            return self.paced(member, Action(ActionKind.STOP, member.id, member.target, after), now)
+        if phase is Phase.VERIFYING:
+            return self.verify(member, snapshot, now)
+        if phase is Phase.STOPPING_PREDECESSOR:
+            return self.rate_limited(member, Action(ActionKind.STOP, member.id, member.version, current), now)
+        if phase is Phase.AWAITING_PREDECESSOR_EXIT:
+            self.wait_for_predecessor_exit(member, snapshot, now)
+        if phase is Phase.DOWN:  # the second process did not become ready: stop it, the first serves on
+            return self.rate_limited(
+                member, Action(ActionKind.STOP, member.id, member.target, successor), now
+            )
         if phase is Phase.WARMING:
-            self.warming(member, now)
+            self.wait_until_warm(member, now)
         return None
 
-    def prove(self, member: MemberState, view: Snapshot, now: float) -> Action | None:
-        _, after = self.doors(member)
-        process = view.nodes[member.id].at(after)
-        if now - member.since > self.times.ready:
-            said = process.health if process else "no answer at its door"
-            fault = f"not ready {self.times.ready:g} s after its start: {member.note or said}"
-            self.fail(member, now, fault)
+    def verify(self, member: MemberState, snapshot: Snapshot, now: float) -> Action | None:
+        _, successor = self.current_and_successor_address(member)
+        process = snapshot.nodes[member.id].process_at(successor)
+        if now - member.since > self.times.ready_s:
+            health = process.health if process else "no response at its admin address"
+            fault = f"not ready {self.times.ready_s:g} s after its start: {member.note or health}"
+            self.mark_failed(member, now, fault)
         elif process is not None and process.ready:
-            if member.proved == 0 and self.asks.version:
-                return self.paced(member, Action(ActionKind.ASK, member.id, member.target, after), now)
-            if member.proved <= 1 and self.asks.check:
-                return self.paced(member, Action(ActionKind.CHECK, member.id, member.target, after), now)
-            member.go(Phase.HANDING, now, "")
+            if member.proved == 0 and self.available.version:
+                return self.rate_limited(
+                    member, Action(ActionKind.VERSION, member.id, member.target, successor), now
+                )
+            if member.proved <= 1 and self.available.check:
+                return self.rate_limited(
+                    member, Action(ActionKind.CHECK, member.id, member.target, successor), now
+                )
+            member.enter_phase(Phase.STOPPING_PREDECESSOR, now, "")
         return None
 
-    def leave(self, member: MemberState, view: Snapshot, now: float) -> None:
-        """The process before is gone from its door, and the new one serves."""
-        before, after = self.doors(member)
-        node = view.nodes[member.id]
-        if view.at > member.since and node.at(before) is None and node.at(after) is not None:
-            member.door = self.asks.doors[member.id].index(after)
+    def wait_for_predecessor_exit(self, member: MemberState, snapshot: Snapshot, now: float) -> None:
+        """Finish once the old process is gone from its admin address and the new one serves."""
+        current, successor = self.current_and_successor_address(member)
+        node = snapshot.nodes[member.id]
+        if (
+            snapshot.taken_at_s > member.since
+            and node.process_at(current) is None
+            and node.process_at(successor) is not None
+        ):
+            member.door = self.available.admin_addresses[member.id].index(successor)
             member.version = member.target
-            member.go(Phase.WARMING, now, "")
-        elif now - member.since > self.times.ready:
-            member.fault = "two processes of it run on, though the first was told to end"
-            member.go(Phase.HANDING, now, member.fault)
-
-    def ended(self, member: MemberState, act: Action, result: ActionResult, now: float) -> None:
-        if act.do is ActionKind.RUN:
-            member.go(Phase.PROVING if result.ok else Phase.FINDING, now, result.text)
-        elif act.do is ActionKind.STOP and member.phase is Phase.HANDING:
-            member.note = "" if result.ok else f"not told to end: {result.text}"
+            member.enter_phase(Phase.WARMING, now, "")
+        elif now - member.since > self.times.ready_s:
+            member.fault = "two processes of it run on, though the first was asked to stop"
+            member.enter_phase(Phase.STOPPING_PREDECESSOR, now, member.fault)
+
+    def on_action_ended(self, member: MemberState, action: Action, result: ActionResult, now: float) -> None:
+        if action.kind is ActionKind.RESTART:
+            member.enter_phase(Phase.VERIFYING if result.ok else Phase.RESOLVING_RESTART, now, result.text)
+        elif action.kind is ActionKind.STOP and member.phase is Phase.STOPPING_PREDECESSOR:
+            member.note = "" if result.ok else f"not asked to stop: {result.text}"
             if result.ok:
-                member.go(Phase.LEAVING, now)
-            elif now - member.since > self.times.ready:  # the new one serves; it must not be ended now
+                member.enter_phase(Phase.AWAITING_PREDECESSOR_EXIT, now)
+            elif now - member.since > self.times.ready_s:  # the new one serves and must not be stopped
                 member.fault = member.note
-        elif act.do is ActionKind.STOP and member.phase is Phase.DOWN:
+        elif action.kind is ActionKind.STOP and member.phase is Phase.DOWN:
             if result.ok:
-                self.undo(member, now, member.note)
-        elif act.do is ActionKind.ASK:
+                self.cancel_update(member, now, member.note)
+        elif action.kind is ActionKind.VERSION:
             if result.ok and result.text == member.target:
                 member.proved = 1
             else:
-                member.note = f"it says {result.text}, not {member.target}"
-        elif act.do is ActionKind.CHECK:
+                member.note = f"it runs {result.text}, not {member.target}"
+        elif action.kind is ActionKind.CHECK:
             if result.ok:
                 member.proved = 2
-            elif result.known:
-                self.fail(member, now, f"it answers wrongly: {result.text}")
+            elif result.outcome_known:
+                self.mark_failed(member, now, f"it answers wrongly: {result.text}")
--- a/flaxstep/simulator/scoring.py
+++ b/flaxstep/simulator/scoring.py
@@ -1,4 +1,4 @@
-"""The judge of a day: worth served, prices, and the four rules of WIRE, each breach with time and place."""
+"""Scores a run: worth served, costs, and breaches of the four rules of WIRE with their time and place."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from flaxstep.simulator.scenario import Scenario
 
-WINDOW = 10  # s of the worst stretch
-MOST_BREACHES = 50  # of a rule that are kept with their details; the rest are counted
+WINDOW_S = 10  # length of the worst window that is looked for
+MAX_DETAILED_BREACHES_PER_RULE = 50  # further ones are only counted
 
 
 class Breach(msgspec.Struct, frozen=True):
-    """A broken rule: which, when (ms), where."""
+    """A broken rule: which one, when (`at`, ms), and at which node, request and server (-1: none)."""
 
     rule: str
     at: float
@@ -24,7 +24,12 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What a day came to. Worths are parts of what was asked for; prices are parts of G."""
+    """The score of a run.
+
+    `g` is the weighted sum of the served shares, minus the prices. `served`, `worst_*`, `classes` and
+    `tenants` are shares of the worth that was requested. `worst_window` is the lowest share in any window of
+    10 s, `worst_from` the second in which that window begins. `prices` are the amounts subtracted from `g`.
+    """
 
     g: float
     served: float
@@ -39,33 +44,35 @@
 
 
 @dataclass(slots=True)
-class Bill:
-    """What is paid for, counted as it happens."""
+class CostCounters:
+    """Counts from which the prices are computed."""
 
     attempts: int = 0
-    across: int = 0  # attempts that crossed zones
+    cross_zone_attempts: int = 0
     probes: int = 0
     peer_bytes: int = 0
-    late_lost: float = 0.0  # worth that ended unserved after its aim
-    asked_work: float = 0.0
+    late_unserved_worth: float = 0.0  # of requests that ended unserved after their aim
+    requested_work_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class Scorer:
+    """Collects what happens in a run and computes its verdict."""
+
     scenario: Scenario
     seconds: int
-    asked: list[float] = field(default_factory=list)  # worth by second of the first try
-    earned: list[float] = field(default_factory=list)
-    by_class: list[list[float]] = field(default_factory=list)  # asked, earned
+    asked: list[float] = field(default_factory=list)  # worth requested, by second of the first try
+    earned: list[float] = field(default_factory=list)  # worth served, by second of the first try
+    by_class: list[list[float]] = field(default_factory=list)  # worth requested and served
     by_tenant: list[list[float]] = field(default_factory=list)
     refused: list[int] = field(default_factory=list)  # by second
     failed: list[int] = field(default_factory=list)
     first_tries: int = 0
     tries: int = 0
     breaches: list[Breach] = field(default_factory=list)
-    broken: int = 0
-    by_rule: dict[str, int] = field(default_factory=dict)
-    bill: Bill = field(default_factory=Bill)
+    breach_count: int = 0
+    breaches_by_rule: dict[str, int] = field(default_factory=dict)
+    counters: CostCounters = field(default_factory=CostCounters)
 
     def __post_init__(self) -> None:
         self.asked, self.earned = [0.0] * self.seconds, [0.0] * self.seconds
@@ -73,63 +80,65 @@
         self.by_class = [[1e-9, 0.0] for _ in self.scenario.classes]
         self.by_tenant = [[1e-9, 0.0] for _ in self.scenario.tenants]
 
-    def breach(self, rule: str, at: float, node: int, request: int, server: int, what: str) -> None:
-        self.broken += 1
-        self.by_rule[rule] = self.by_rule.get(rule, 0) + 1
-        if self.by_rule[rule] <= MOST_BREACHES:
+    def record_breach(self, rule: str, at: float, node: int, request: int, server: int, what: str) -> None:
+        self.breach_count += 1
+        self.breaches_by_rule[rule] = self.breaches_by_rule.get(rule, 0) + 1
+        if self.breaches_by_rule[rule] <= MAX_DETAILED_BREACHES_PER_RULE:
             self.breaches.append(Breach(rule, round(at, 3), node, request, server, what))
 
-    def ask(self, second: int, cls: int, tenant: int, worth: float, inside: bool) -> None:
-        """A first try asks for its worth; beyond its tenant's share it counts for no tenant."""
+    def record_request(self, second: int, cls: int, tenant: int, worth: float, within_quota: bool) -> None:
+        """Add the worth of a first try. Beyond its tenant's quota it doesn't count for the tenant."""
         self.first_tries += 1
         self.asked[second] += worth
         self.by_class[cls][0] += worth
-        if inside and self.by_tenant:
+        if within_quota and self.by_tenant:
             self.by_tenant[tenant][0] += worth
 
-    def earn(self, second: int, cls: int, tenant: int, worth: float, inside: bool) -> None:
+    def record_served(self, second: int, cls: int, tenant: int, worth: float, within_quota: bool) -> None:
         self.earned[second] += worth
         self.by_class[cls][1] += worth
-        if inside and self.by_tenant:
+        if within_quota and self.by_tenant:
             self.by_tenant[tenant][1] += worth
 
-    def verdict(self, useful: float, done: float, choked: float) -> Verdict:
-        """The day's result; `choked` is the part of the servers that the sticky slowdown met."""
-        goal, prices, bill = self.scenario.goal, self.scenario.prices, self.bill
+    def compute_verdict(self, useful_ms: float, done_ms: float, throttled_share: float) -> Verdict:
+        """The verdict; `throttled_share` is the share of the servers that were ever throttled."""
+        goal, prices, counters = self.scenario.goal, self.scenario.prices, self.counters
         asked, tries = sum(self.asked) or 1.0, max(self.first_tries, 1)
-        whole = sum(self.earned) / asked
-        worst, worst_from = whole, 0
-        for start in range(1, max(2, self.seconds - WINDOW)):
-            part = sum(self.asked[start : start + WINDOW])
-            share = sum(self.earned[start : start + WINDOW]) / part if part else 1.0
-            if share < worst:
-                worst, worst_from = share, start
+        served_share = sum(self.earned) / asked
+        worst_share, worst_from = served_share, 0
+        for start in range(1, max(2, self.seconds - WINDOW_S)):
+            asked_in_window = sum(self.asked[start : start + WINDOW_S])
+            window_share = (
+                sum(self.earned[start : start + WINDOW_S]) / asked_in_window if asked_in_window else 1.0
+            )
+            if window_share < worst_share:
+                worst_share, worst_from = window_share, start
         classes = {c.name: e / a for c, (a, e) in zip(self.scenario.classes, self.by_class, strict=True)}
         tenants = {t.name: e / a for t, (a, e) in zip(self.scenario.tenants, self.by_tenant, strict=True)}
         costs = {
-            "cross_zone": prices.cross_zone * bill.across / tries,
-            "waste": prices.waste * max(0.0, done - useful) / max(bill.asked_work, 1.0),
-            "probe": prices.probe * bill.probes / tries,
-            "peer": prices.peer * bill.peer_bytes / 256 / tries,
-            "late_fail": prices.late_fail * bill.late_lost / asked,
-            "overdriven": self.scenario.choke.price * choked,
+            "cross_zone": prices.cross_zone * counters.cross_zone_attempts / tries,
+            "waste": prices.waste * max(0.0, done_ms - useful_ms) / max(counters.requested_work_ms, 1.0),
+            "probe": prices.probe * counters.probes / tries,
+            "peer": prices.peer * counters.peer_bytes / 256 / tries,
+            "late_fail": prices.late_fail * counters.late_unserved_worth / asked,
+            "overdriven": self.scenario.choke.price * throttled_share,
         }
         g = (
-            goal.whole * whole
-            + goal.worst_window * worst
+            goal.whole * served_share
+            + goal.worst_window * worst_share
             + goal.worst_class * min(classes.values())
-            + goal.worst_tenant * min(tenants.values(), default=whole)
+            + goal.worst_tenant * min(tenants.values(), default=served_share)
             - sum(costs.values())
         )
         return Verdict(
             g=round(g, 6),
-            served=round(whole, 6),
-            worst_window=round(worst, 6),
+            served=round(served_share, 6),
+            worst_window=round(worst_share, 6),
             worst_from=worst_from,
             worst_class=round(min(classes.values()), 6),
-            worst_tenant=round(min(tenants.values(), default=whole), 6),
+            worst_tenant=round(min(tenants.values(), default=served_share), 6),
             classes={name: round(value, 6) for name, value in classes.items()},
             tenants={name: round(value, 6) for name, value in tenants.items()},
             prices={name: round(value, 6) for name, value in costs.items()},
-            breaches=self.broken,
+            breaches=self.breach_count,
         )
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -1,4 +1,4 @@
-"""The command line of releases: what it refuses, in what words, and what it tells."""
+"""The command line of releases: its errors, its output, and orders of operators."""
 
 from __future__ import annotations
 
@@ -10,10 +10,9 @@
 from click.testing import CliRunner, Result
 
 from flaxstep.cli import main
-from flaxstep.rollout.actions import Action, ActionKind, MemberState
-from flaxstep.rollout.actions import ActionResult as Came
+from flaxstep.rollout.actions import Action, ActionKind, ActionResult, MemberState
 from flaxstep.rollout.farm import read_farm
-from flaxstep.rollout.io.controller import open_release
+from flaxstep.rollout.io.controller import resume_or_create_release
 from flaxstep.rollout.io.store import Store, StoreError
 from flaxstep.rollout.release import Release, State
 from tests.farms import plan
@@ -51,13 +50,16 @@
     [
         ("name = 3", ["name: ", "discovery: is missing", "state: is missing", "nodes: is missing"]),
         (FARM + '[[nodes]]\nname = "n0"\ndoors = ["here"]\n', ["nodes[1].doors[0]: "]),
-        (FARM + '[[nodes]]\nname = "n0"\ndoors = ["127.0.0.1:1"]\n', ["node n0 stands", "door 127.0.0.1:1"]),
-        (FARM.replace("[[nodes]]", "[nodes]"), ["nodes: an array of tables is wanted"]),
+        (
+            FARM + '[[nodes]]\nname = "n0"\ndoors = ["127.0.0.1:1"]\n',
+            ["node n0 is listed twice", "door 127.0.0.1:1"],
+        ),
+        (FARM.replace("[[nodes]]", "[nodes]"), ["nodes: an array of tables is required"]),
         ("name = ", ["not TOML"]),
         (None, ["farm.toml: No such file or directory"]),
     ],
 )
-def test_a_wrong_farm_file_is_told_fault_by_fault(folder: Path, farm: str | None, words: list[str]) -> None:
+def test_every_fault_of_a_farm_file_is_reported(folder: Path, farm: str | None, words: list[str]) -> None:
     (folder / "farm.toml").unlink()
     if farm is not None:
         (folder / "farm.toml").write_text(farm)
@@ -67,37 +69,43 @@
         assert len(done.output.splitlines()) == len(words)
 
 
-def test_what_needs_a_farm_that_is_not_there_says_so(folder: Path) -> None:
+def test_commands_report_that_a_farm_is_missing(folder: Path) -> None:
     for command, word in (
         (["status"], "no release has been started"),
         (["pause"], "no release has been started"),
-        (["check", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not answer"),
-        (["run", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not answer"),
+        (["check", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not respond"),
+        (["run", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not respond"),
     ):
         done = call(folder, *command)
         assert done.exit_code == 2 and word in done.output and len(done.output.splitlines()) == 1
 
 
-def test_an_open_release_goes_on_with_another_on_bad_but_with_no_other_plan(folder: Path) -> None:
+def test_an_open_release_resumes_with_another_on_bad_but_not_with_another_plan(folder: Path) -> None:
     farm, store, first = read_farm(folder / "farm.toml"), Store(folder / "kept" / "state"), plan()
-    store.take_claim()
-    number = store.begin(first, Release(), {"s-1": MemberState("s-1", "a", 1.0, "v1")})
-    found = asyncio.run(open_release(farm, store, plan(watch='on_bad = "hold"')))
+    store.acquire_claim()
+    number = store.create_release(first, Release(), {"s-1": MemberState("s-1", "a", 1.0, "v1")})
+    found = asyncio.run(resume_or_create_release(farm, store, plan(watch='on_bad = "hold"')))
     assert (found.id, found.plan.watch.on_bad) == (number, "hold")
     with pytest.raises(StoreError, match="is not over"):
-        asyncio.run(open_release(farm, store, plan(watch="slower = 2")))
+        asyncio.run(resume_or_create_release(farm, store, plan(watch="slower = 2")))
     store.close()
 
 
 def test_status_history_and_orders_of_a_release_without_a_controller(folder: Path) -> None:
     store = Store(folder / "kept" / "state")
-    store.take_claim()
+    store.acquire_claim()
     members = {"s-1": MemberState("s-1", "a", 1.0, "v1"), "s-2": MemberState("s-2", "b", 1.0, "v1", wave=1)}
-    number = store.begin(plan(), Release(state=State.ROLLING, waiting="node n0 does not answer"), members)
-    [act] = store.intend(number, Release(state=State.ROLLING), members, [Action(ActionKind.CORDON, "s-1")])
-    store.record(number, Release(state=State.ROLLING), members, act, Came(False, "n0: no answer"))
+    number = store.create_release(
+        plan(), Release(state=State.IN_PROGRESS, waiting="node n0 does not respond"), members
+    )
+    [action] = store.write_intents(
+        number, Release(state=State.IN_PROGRESS), members, [Action(ActionKind.CORDON, "s-1")]
+    )
+    store.write_result(
+        number, Release(state=State.IN_PROGRESS), members, action, ActionResult(False, "n0: no answer")
+    )
     assert f"process {store.holder().split()[-1]}" in call(folder, "status").output
-    store.leave_claim()
+    store.release_claim()
 
     status = json.loads(call(folder, "status", "--json").output)
     assert (status["state"], status["wave"], status["waves"], status["controller"]) == ("under way", 1, 2, "")
@@ -111,14 +119,14 @@
     )
     assert "no: n0: no answer" in call(folder, "history").output
     assert call(folder, "close").exit_code == 2  # it is under way
-    said = call(folder, "pause")
-    assert said.exit_code == 0 and "no controller runs" in said.output
-    assert [what for _, what in store.orders(number)] == ["pause"]
+    paused = call(folder, "pause")
+    assert paused.exit_code == 0 and "no controller runs" in paused.output
+    assert [what for _, what in store.pending_orders(number)] == ["pause"]
 
-    store.take_claim()
+    store.acquire_claim()
     with store.transaction():
         store.save(number, Release(state=State.HALTED), members)
-    store.leave_claim()
+    store.release_claim()
     assert call(folder, "close").exit_code == 0
     assert "is over: halted" in call(folder, "back").output
     store.close()
