--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -1,4 +1,7 @@
-"""The rig's judge catches a planted fault of each kind, and finds nothing where nothing was planted."""
+"""The rule checks detect each kind of fault planted in a proxy, and report nothing for an honest one.
+
+The faulty proxy is tests/planted.py.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +20,19 @@
 from tests.rigs import ROOT, Played, rig
 
 
-async def drain(stage: Farm) -> None:
-    await stage.leave_server(0, late_s=0.0)
+async def drain_server(farm: Farm) -> None:
+    await farm.leave_server(0, late_s=0.0)
 
 
-async def cordon(stage: Farm) -> None:
-    await stage.cordon(0)
+async def cordon_server(farm: Farm) -> None:
+    await farm.cordon(0)
 
 
-async def restart(stage: Farm) -> None:
-    await stage.restart_server(0, down_s=0.1)
+async def restart_server(farm: Farm) -> None:
+    await farm.restart_server(0, down_s=0.1)
 
 
-PLANTED = {
+EXPECTED_RULES = {
     "honest": set(),
     "silent": {"lost request"},
     "closed": {"lost request"},
@@ -43,44 +46,48 @@
     "cordoned": {"cordon"},
     "cold": {"cold server"},
 }
-ACTS = {"drained": drain, "cordoned": cordon, "cold": restart}
-MORE = {  # what comes with it: two unsafe attempts both run; an answer made for another request is none
-    "together": {"duplicate"},
-    "strange": {"lost request"},
+ACTIONS = {"drained": drain_server, "cordoned": cordon_server, "cold": restart_server}
+ALSO_ALLOWED = {  # rules that the planted fault breaks as well
+    "together": {"duplicate"},  # both of the two unsafe attempts run
+    "strange": {"lost request"},  # the response is for another request id
 }
-SIDE_BY_SIDE = 4  # rigs at one time: they must not meet
+PARALLEL_FARMS = 4  # farms that run at the same time, which must not disturb each other
 
 
-async def planted(folder: Path, fault: str) -> Played:
-    run = f"exec {sys.executable} -B {ROOT / 'tests' / 'planted.py'} {fault}"
-    # A cold server falls only if more is asked of it than it bears.
-    return await rig(folder / fault, ACTS.get(fault), run, nodes=1, load=0.9 if fault == "cold" else 0.3)
+async def play_with_planted_fault(folder: Path, fault: str) -> Played:
+    command = f"exec {sys.executable} -B {ROOT / 'tests' / 'planted.py'} {fault}"
+    # A cold server fails only under a load above what it can bear.
+    return await rig(
+        folder / fault, ACTIONS.get(fault), command, nodes=1, load=0.9 if fault == "cold" else 0.3
+    )
 
 
-@pytest.mark.parametrize("first", range(0, len(PLANTED), SIDE_BY_SIDE))
-def test_a_planted_fault_of_each_kind_is_caught(tmp_path: Path, first: int) -> None:
-    faults = list(PLANTED)[first : first + SIDE_BY_SIDE]
+@pytest.mark.parametrize("first", range(0, len(EXPECTED_RULES), PARALLEL_FARMS))
+def test_each_planted_fault_is_detected(tmp_path: Path, first: int) -> None:
+    faults = list(EXPECTED_RULES)[first : first + PARALLEL_FARMS]
 
-    async def test() -> list[Played]:
-        return await asyncio.gather(*(planted(tmp_path, fault) for fault in faults))
+    async def play_all() -> list[Played]:
+        return await asyncio.gather(*(play_with_planted_fault(tmp_path, fault) for fault in faults))
 
-    for fault, play in zip(faults, asyncio.run(test()), strict=True):
-        assert PLANTED[fault] <= play.broken <= PLANTED[fault] | MORE.get(fault, set()), fault
-        for breach in play.result.breaches:
+    for fault, played in zip(faults, asyncio.run(play_all()), strict=True):
+        assert (
+            EXPECTED_RULES[fault] <= played.broken <= EXPECTED_RULES[fault] | ALSO_ALLOWED.get(fault, set())
+        ), fault
+        for breach in played.result.breaches:
             assert breach.at > 0 and (breach.request or breach.rule == "cold server")
 
 
 @pytest.mark.parametrize(
     ("dealt", "nodes"),
     [
-        ([(4.0, 0, 0), (6.0, 1, 1)], [0, 1]),  # one port on connections to the listeners of two zones
+        ([(4.0, 0, 0), (6.0, 1, 1)], [0, 1]),  # the same client port at the listeners of two zones
         ([(6.0, 1, 1), (7.0, 0, 0)], [0, 1]),
-        ([(4.0, 0, 0), (6.0, 1, 1), (20.0, 0, 1)], [0, 1]),  # the port is used once more, later
-        ([(12.0, 0, 0), (13.0, 1, 1)], [0, 1]),  # the kernel took requests before the front came to them
-        ([(4.0, 0, 0)], [0, -1]),  # one was never dealt
+        ([(4.0, 0, 0), (6.0, 1, 1), (20.0, 0, 1)], [0, 1]),  # the port is reused later
+        ([(12.0, 0, 0), (13.0, 1, 1)], [0, 1]),  # requests arrived before the balancer assigned them
+        ([(4.0, 0, 0)], [0, -1]),  # a connection that was never assigned
     ],
 )
-def test_a_request_is_the_node_s_to_which_its_own_connection_was_dealt(
+def test_a_request_belongs_to_the_node_that_its_connection_was_assigned_to(
     dealt: list[tuple[float, int, int]], nodes: list[int]
 ) -> None:
     asked = [Asked(10.0, zone, 0, str(zone), 0, zone, 5000, 500.0, True, 9.0) for zone in (0, 1)]
@@ -94,10 +101,11 @@
     ("stopped", "whole", "broken"),
     [(True, True, False), (False, True, True), (True, False, True)],
 )
-def test_an_answer_that_is_late_as_the_rig_stopped_the_node_is_no_breach(
-    stopped: bool, whole: bool, broken: bool
-) -> None:
-    """Found by the soak (seed 7, play 10): a request came to a stopped node, and was served after."""
+def test_a_response_delayed_by_a_stopped_node_is_no_breach(stopped: bool, whole: bool, broken: bool) -> None:
+    """Soak seed 7, play 10: a request reached a node that the bench had stopped, and was served late.
+
+    A body that no job server produced stays a breach even then.
+    """
     scenario = read_scenario(ROOT / "scenarios" / "demo.toml")
     at = 9000.0 if whole else 1200.0
     lines: list[Record] = [
@@ -112,10 +120,13 @@
 
 
 @pytest.mark.parametrize(("closed_at", "broken"), [(1500.0, False), (1700.0, True)])
-def test_an_attempt_is_out_until_its_node_closes_though_a_stopped_server_reads_it_later(
+def test_an_attempt_ends_when_the_node_closes_it_even_if_a_stopped_server_reads_it_later(
     closed_at: float, broken: bool
 ) -> None:
-    """Found by the soak (seed 7, play 33): the server read what was called back once it went on."""
+    """Soak seed 7, play 33: a stopped server read a request after it went on, though the node had closed it.
+
+    The next attempt may start once the node has closed the connection, not before.
+    """
     scenario = read_scenario(ROOT / "scenarios" / "demo.toml")
     lines: list[Record] = [
         Dealt(900.0, 0, 5000, 0),
--- a/tests/test_rig_report.py
+++ b/tests/test_rig_report.py
@@ -1,4 +1,4 @@
-"""What a play is made of and comes to: the timetable, the counts, the page."""
+"""The schedule of a play, the validation of its faults, and the HTML report of its result."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 DEMO = Path(__file__).parent.parent / "scenarios" / "demo.toml"
 
 
-def test_the_timetable_is_the_seed_s_and_every_begin_has_its_end() -> None:
+def test_the_schedule_depends_on_the_seed_and_every_fault_that_begins_also_ends() -> None:
     scenario = read_scenario(DEMO)
     names = (
         "slow",
@@ -48,7 +48,7 @@
             last |= {
                 f"{step.arguments['server']} {key}": v for key, v in step.arguments.items() if key != "server"
             }
-    assert set(last.values()) <= {1.0, 0.0}  # all figures are back to normal
+    assert set(last.values()) <= {1.0, 0.0}  # every changed setting is reset
     done = [step.do for step in one]
     for begin, end in (("fault", "heal"), ("cordon", "uncordon"), ("quiesce", "resume"), ("kill", "start")):
         assert 0 < done.count(begin) <= done.count(end)
@@ -69,39 +69,39 @@
         ('name = "melt"\nat_s = 1', "rig.faults[0].name"),
     ],
 )
-def test_a_fault_that_can_t_be_played_is_one_line_with_its_key(fault: str, words: str) -> None:
+def test_an_invalid_fault_is_rejected_with_one_line_that_names_its_key(fault: str, words: str) -> None:
     text = re.sub(r"\[\[rig.faults\]\][^[]*", f"[[rig.faults]]\n{fault}\n\n", DEMO.read_text())
     with pytest.raises(ScenarioError) as error:
         parse_scenario(text)
     assert words in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_lab_refuses_a_day_with_faults_of_the_rig() -> None:
+def test_the_simulator_rejects_a_scenario_with_process_faults() -> None:
     done = CliRunner().invoke(main, ["lab", "play", str(DEMO)])
     assert done.exit_code == 2 and "rig.faults" in done.output and done.output.count("\n") == 1
 
 
-def test_a_folder_that_holds_something_is_left_alone(tmp_path: Path) -> None:
+def test_a_folder_that_is_not_empty_is_left_untouched(tmp_path: Path) -> None:
     (tmp_path / "mine").write_text("kept")
     done = CliRunner().invoke(main, ["demo", "--out", str(tmp_path)])
     assert done.exit_code == 2 and "exists already" in done.output
     assert [path.name for path in tmp_path.iterdir()] == ["mine"]
 
 
-def test_the_page_stands_alone_and_says_what_broke() -> None:
-    lines = [TableRow("a <b>", asked=10.0, earned=5.0, in_time=3), TableRow("c")]
+def test_the_report_needs_no_other_file_and_lists_the_breaches() -> None:
+    rows = [TableRow("a <b>", asked=10.0, earned=5.0, in_time=3), TableRow("c")]
     verdict = Verdict(0.5, 0.6, 0.4, 1, 0.5, 0.5, {}, {}, {}, 1)
     second = Second(10.0, 5.0, [1, 0], [0, 2], [0.5, 3.0, 1.0])
     outcomes = Outcomes(*([0, 0] for _ in range(6)))
-    took = {"a <b>": {"p50": 12.0, "p99": 80.0}}
+    latencies = {"a <b>": {"p50": 12.0, "p99": 80.0}}
     bands = [("cordon", 1.0, 3.0), ("silent zone:0 - zone:1", 9.0, 12.0)]
-    broken = [Breach("duplicate", 1234.5, 1, "00ff", 2, "ran <twice>")]
+    listed_breaches = [Breach("duplicate", 1234.5, 1, "00ff", 2, "ran <twice>")]
     result = Result(
-        "day & night", 7, 12, 100, 120, verdict, outcomes, lines, lines, lines, [second] * 12, took, {}, 4,
-        bands, broken, 1, 0, 0,
+        "day & night", 7, 12, 100, 120, verdict, outcomes, rows, rows, rows, [second] * 12, latencies, {}, 4,
+        bands, listed_breaches, 1, 0, 0,
     )  # fmt: skip
     page = render_report(result)
-    assert page == render_report(result)  # the same bytes again
+    assert page == render_report(result)  # rendering is reproducible
     assert (
         "day &amp; night" in page
         and "a &lt;b&gt;" in page
@@ -116,4 +116,4 @@
     assert len(plots) == 5
     ids = [element.get("id") for plot in plots for element in ET.fromstring(plot).iter() if element.get("id")]
     clips = [name for name in ids if re.fullmatch(r"[pm][0-9a-f]{8,}", name or "")]
-    assert clips and len(set(clips)) == len(clips)  # one plot must not cut another
+    assert clips and len(set(clips)) == len(clips)  # a clip path id used twice would clip another plot
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what it draws, what it says of a breach, and a short one with fixed seeds."""
+"""The soak: its drawn scenarios, its description of a breach, and a short soak with fixed seeds."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from flaxstep.simulator.sampling import draw_plan
 from flaxstep.simulator.scenario import Rules, parse_scenario
 
-PLAYS, SECONDS = 6, 10.0
+PLAY_COUNT, PLAY_SECONDS = 6, 10.0
 
 
 @given(st.integers(0, 1 << 31), st.integers(0, 9999), st.floats(8.0, 600.0))
-def test_every_draw_can_be_played_and_is_the_same_again(seed: int, number: int, seconds: float) -> None:
+def test_every_drawn_scenario_is_valid_and_reproducible(seed: int, number: int, seconds: float) -> None:
     drawn = draw_play(seed, number, seconds)
     scenario = parse_scenario(drawn.scenario)
     assert drawn == draw_play(seed, number, seconds)
@@ -38,18 +38,18 @@
 
 
 def test_draws_differ_by_seed_and_by_number() -> None:
-    found = {draw_play(seed, number, 20.0).scenario for seed in range(4) for number in range(4)}
-    assert len(found) == 16
+    scenarios = {draw_play(seed, number, 20.0).scenario for seed in range(4) for number in range(4)}
+    assert len(scenarios) == 16
 
 
 @pytest.mark.parametrize(
     ("written_at", "sent_at", "broken"),
     [(None, 3500.0, False), (None, 3600.0, True), (2500.0, 3000.0, False), (2500.0, 3100.0, True)],
 )
-def test_news_that_is_not_written_counts_as_told_all_the_same(
+def test_a_list_update_that_was_never_written_counts_as_known_after_its_time(
     written_at: float | None, sent_at: float, broken: bool
 ) -> None:
-    """At 3 s, unless it is written before; and once it is, what was assumed holds no more."""
+    """Here at 3 s, unless it is written before; once it is written, the assumed update no longer counts."""
     plan = draw_plan(parse_scenario(draw_play(1, 0, 20.0).scenario), 1)
     lines: list[Record] = [Told(3000.0, 0, 2, False, {1: "leaving"}, assumed=True)]
     if written_at is not None:
@@ -61,19 +61,19 @@
     assert (sent_at > enforced_from) is broken
 
 
-def test_what_was_assumed_of_an_older_list_does_not_undo_a_newer_one() -> None:
+def test_an_update_assumed_from_an_older_list_does_not_override_a_newer_one() -> None:
     plan = draw_plan(parse_scenario(draw_play(1, 0, 20.0).scenario), 1)
-    back = Told(2000.0, 0, 3, False, {1: "active"})
-    late = Told(3000.0, 0, 2, False, {1: "leaving"}, assumed=True)
+    newer = Told(2000.0, 0, 3, False, {1: "active"})
+    older = Told(3000.0, 0, 2, False, {1: "leaving"}, assumed=True)
     attempt = Attempt(Began(9000.0, "ab", "", 1, "v1", 1, 1, 9000.0, 20.0), 0, 9000.0, 0.0)
-    assert drain_enforced_from(build_trace([back, late], plan, {}), attempt, Rules()) == FOREVER
+    assert drain_enforced_from(build_trace([newer, older], plan, {}), attempt, Rules()) == FOREVER
 
 
-def test_a_breach_is_told_with_what_every_process_saw(tmp_path: Path) -> None:
+def test_a_breach_is_described_with_the_records_of_every_process(tmp_path: Path) -> None:
     recorder = Recorder(tmp_path / "all.jsonl", 0.0)
     for record in (
         Told(1000.0, 0, 2, False, {3: "leaving"}),
-        Told(1000.0, 1, 2, False, {3: "leaving"}),  # another node's
+        Told(1000.0, 1, 2, False, {3: "leaving"}),  # to another node
         Asked(2000.0, 1, 0, "ab", 0, 0, 1234, 3000.0, False, 2000.0),
         Began(2004.0, "ab", "", 3, "v1", 1, 1, 2003.0, 20.0),
         Began(2004.0, "cd", "", 3, "v1", 1, 1, 2003.0, 20.0),  # another request
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(("not_run_reason", "breaches"), [("", 0), ("too busy", 0)])
-def test_a_play_that_was_not_played_properly_is_no_verdict(
+def test_a_play_that_was_not_run_properly_counts_as_not_run(
     not_run_reason: str, breaches: int, tmp_path: Path
 ) -> None:
     outcome = SoakOutcome(draw_play(1, 0, 10.0), tmp_path, None, not_run_reason)
@@ -98,7 +98,7 @@
     assert outcome.verdict.startswith("not run" if not_run_reason else "rules kept")
 
 
-def test_two_plays_of_one_seed_in_one_second_have_folders_of_their_own(
+def test_plays_of_one_seed_started_in_one_second_get_separate_folders(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -108,8 +108,10 @@
 
 def test_a_short_soak_breaks_no_rule(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     build()
-    outcomes = asyncio.run(run_soak(2, list(range(PLAYS)), SECONDS, 2, tmp_path))
-    told = capsys.readouterr().out
-    assert len(outcomes) == PLAYS
-    assert not [outcome for outcome in outcomes if outcome.breaches], told
-    assert sum(bool(outcome.not_run_reason) for outcome in outcomes) <= max(1, NOT_RUN_PART * PLAYS), told
+    outcomes = asyncio.run(run_soak(2, list(range(PLAY_COUNT)), PLAY_SECONDS, 2, tmp_path))
+    output = capsys.readouterr().out
+    assert len(outcomes) == PLAY_COUNT
+    assert not [outcome for outcome in outcomes if outcome.breaches], output
+    assert sum(bool(outcome.not_run_reason) for outcome in outcomes) <= max(
+        1, NOT_RUN_PART * PLAY_COUNT
+    ), output
