--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("dealt", "nodes"),
+    ("assignments", "nodes"),
     [
         ([(4.0, 0, 0), (6.0, 1, 1)], [0, 1]),  # the same client port at the listeners of two zones
         ([(6.0, 1, 1), (7.0, 0, 0)], [0, 1]),
@@ -88,12 +88,12 @@
     ],
 )
 def test_a_request_belongs_to_the_node_that_its_connection_was_assigned_to(
-    dealt: list[tuple[float, int, int]], nodes: list[int]
+    assignments: list[tuple[float, int, int]], nodes: list[int]
 ) -> None:
-    asked = [Asked(10.0, zone, 0, str(zone), 0, zone, 5000, 500.0, True, 9.0) for zone in (0, 1)]
-    lines = [Dealt(at, zone, 5000, node) for at, zone, node in dealt]
+    sent = [Asked(10.0, zone, 0, str(zone), 0, zone, 5000, 500.0, True, 9.0) for zone in (0, 1)]
+    dealt = [Dealt(at, zone, 5000, node) for at, zone, node in assignments]
     plan = draw_plan(read_scenario(ROOT / "scenarios" / "demo.toml"), 1)
-    trace = build_trace([*asked, *lines], plan, {})
+    trace = build_trace([*sent, *dealt], plan, {})
     assert [trace.tries[str(zone)].node for zone in (0, 1)] == nodes
 
 
@@ -108,14 +108,14 @@
     """
     scenario = read_scenario(ROOT / "scenarios" / "demo.toml")
     at = 9000.0 if whole else 1200.0
-    lines: list[Record] = [
+    records: list[Record] = [
         Dealt(900.0, 0, 5000, 0),
         Asked(1000.0, 0, 0, "ab", 0, 0, 5000, 1400.0, False, 1000.0),
         Answered(at, "ab", 200, whole=whole),
     ]
     if stopped:
-        lines += [Happened(950.0, "stopped", "node:0"), Happened(8000.0, "goes on", "node:0")]
-    trace = build_trace(lines, draw_plan(scenario, 1), {})
+        records += [Happened(950.0, "stopped", "node:0"), Happened(8000.0, "goes on", "node:0")]
+    trace = build_trace(records, draw_plan(scenario, 1), {})
     assert bool(list(find_lost_requests(trace, scenario))) is broken
 
 
@@ -128,7 +128,7 @@
     The next attempt may start once the node has closed the connection, not before.
     """
     scenario = read_scenario(ROOT / "scenarios" / "demo.toml")
-    lines: list[Record] = [
+    records: list[Record] = [
         Dealt(900.0, 0, 5000, 0),
         Asked(1000.0, 0, 0, "ab", 0, 0, 5000, 2400.0, False, 1000.0),
         Turn(closed_at, "node:0", "server:3", 7, 0, 1100.0, 1100.0),
@@ -139,5 +139,5 @@
         Began(2000.0, "ab", "", 3, "v1", 7, 0, 2000.0, 20.0),
         Ended(2001.0, "ab", 3, 7, 0, "left"),
     ]
-    trace = build_trace(lines, draw_plan(scenario, 1), {})
+    trace = build_trace(records, draw_plan(scenario, 1), {})
     assert bool(list(find_excess_attempts(trace, scenario))) is broken
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -51,13 +51,13 @@
 ) -> None:
     """Here at 3 s, unless it is written before; once it is written, the assumed update no longer counts."""
     plan = draw_plan(parse_scenario(draw_play(1, 0, 20.0).scenario), 1)
-    lines: list[Record] = [Told(3000.0, 0, 2, False, {1: "leaving"}, assumed=True)]
+    records: list[Record] = [Told(3000.0, 0, 2, False, {1: "leaving"}, assumed=True)]
     if written_at is not None:
-        lines.append(Told(written_at, 0, 2, False, {1: "leaving"}))
-        lines.append(Told(2800.0, 0, 3, False, {2: "active"}))
-    began = Began(sent_at, "ab", "", 1, "v1", 1, 1, sent_at, 20.0)
-    attempt = Attempt(began, 0, sent_at, 0.0)
-    enforced_from = drain_enforced_from(build_trace(lines, plan, {}), attempt, Rules(drain_grace_ms=500.0))
+        records.append(Told(written_at, 0, 2, False, {1: "leaving"}))
+        records.append(Told(2800.0, 0, 3, False, {2: "active"}))
+    arrival = Began(sent_at, "ab", "", 1, "v1", 1, 1, sent_at, 20.0)
+    attempt = Attempt(arrival, 0, sent_at, 0.0)
+    enforced_from = drain_enforced_from(build_trace(records, plan, {}), attempt, Rules(drain_grace_ms=500.0))
     assert (sent_at > enforced_from) is broken
 
 
