--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -24,7 +24,7 @@
 def test_no_admin_port_without_address() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            assert stand.node.door is None
+            assert stand.node.admin_listener is None
 
     run(test())
 
@@ -129,13 +129,13 @@
             assert (await idle.ask(request()))[0] == 200
             release.clear()
             pending.writer.write(request())
-            await wait_until(lambda: len(stand.node.held) == 1)
+            await wait_until(lambda: len(stand.node.pending_requests) == 1)
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert (await stand.call("POST", "quiesce"))[0] == 200
             assert await idle.end() == b""  # closed without a request on it
             newcomer = await stand.client()  # the client has not switched to another node yet
             newcomer.writer.write(request())
-            await wait_until(lambda: len(stand.node.held) == 2)
+            await wait_until(lambda: len(stand.node.pending_requests) == 2)
             silent = await stand.client()
             assert (await (await stand.client()).ask(HEALTH))[0] == 503
             assert (await stand.call("GET", "health"))[0] == 503
@@ -157,7 +157,7 @@
 
 
 def test_drain_ends_quiesced_node_and_rejects_resume(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
+    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_AFTER_SIGTERM_S", 0.3)
 
     async def test() -> None:
         async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -105,7 +105,7 @@
             due = (await stand.event(Uploaded)).due  # the timeout starts at the last byte
             assert 0 < due - now_ms() < 8000.0
             assert (await stand.outcome()).result == Result.OK
-            assert stand.node.body_budget.body_count == 0 and not stand.node.held
+            assert stand.node.body_budget.body_count == 0 and not stand.node.pending_requests
             assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200  # the connection stays open
 
     run(test())
@@ -154,7 +154,7 @@
             assert (outcome.result, outcome.over) == (Result.OK, True)
             assert (
                 stand.node.body_budget.body_count == 0
-                and not stand.node.held
+                and not stand.node.pending_requests
                 and not stand.node.pool.attempts
             )
             if version == b"HTTP/1.1":
@@ -231,7 +231,7 @@
                 statistics["outstanding"],
                 statistics["forwards"],
             ) == (1, 0, 1)
-            assert not stand.node.held and stand.node.body_budget.body_count == 0
+            assert not stand.node.pending_requests and stand.node.body_budget.body_count == 0
 
     run(test())
 
@@ -258,7 +258,7 @@
                 before = written[0]
                 await asyncio.sleep(0.2)
             assert before < 32 << 20
-            (pending,) = stand.node.held.values()
+            (pending,) = stand.node.pending_requests.values()
             assert pending.client.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES
             assert (await stats(stand))["outstanding"] == 1
             client.reader._limit = 1 << 20  # type: ignore[attr-defined]
@@ -266,9 +266,9 @@
             async with asyncio.timeout(WAIT):
                 while left > 0:
                     left -= len(await client.reader.read(1 << 20))
-                    if not stand.node.held:
+                    if not stand.node.pending_requests:
                         break
-            await wait_until(lambda: not stand.node.held)
+            await wait_until(lambda: not stand.node.pending_requests)
             assert (await stats(stand))["results.find.succeeded"] == 1
 
     run(test())
@@ -298,7 +298,7 @@
 def test_server_that_stops_reading_body_is_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
+    monkeypatch.setattr(server_connections, "REQUEST_WRITE_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with running_controlled_server(attempts=3) as (stand, server):
@@ -365,7 +365,7 @@
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(server.ended.wait(), WAIT)
             assert (
-                not stand.node.held
+                not stand.node.pending_requests
                 and not stand.node.pool.attempts
                 and stand.node.body_budget.body_count == 0
             )
@@ -392,7 +392,7 @@
             assert await client.end() == b""
             await asyncio.wait_for(server.ended.wait(), WAIT)
             assert (await stand.outcome()).result == Result.CANCELLED
-            assert not stand.node.pool.attempts and stand.node.figures.forwards == 0
+            assert not stand.node.pool.attempts and stand.node.metrics.forwards == 0
 
     run(test())
 
@@ -448,7 +448,7 @@
             client = await stand.client()
             client.writer.write(request() + upload_request(LARGE_BODY) + request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            assert len(stand.node.held) == 1
+            assert len(stand.node.pending_requests) == 1
             (connection,) = stand.node.listener.connections
             await wait_until(lambda: connection.paused_for_upload)  # reading is paused meanwhile
             release.set()
@@ -574,8 +574,8 @@
 
 
 def test_response_that_stops_half_way_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connections, "SILENCE", 0.2)
-    monkeypatch.setattr(server_connections, "SWEEP", 0.05)
+    monkeypatch.setattr(server_connections, "RESPONSE_READ_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(server_connections, "IDLE_SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer(answer(RESPONSES["length"][:500_000])).start()) as stand:
@@ -606,6 +606,6 @@
             client.writer.transport.abort()
             await asyncio.wait_for(peer.ended.get(), WAIT)
             await wait_until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
-            assert not stand.node.held and stand.node.body_budget.body_count == 0
+            assert not stand.node.pending_requests and stand.node.body_budget.body_count == 0
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -76,11 +76,11 @@
     """A client socket that only does what the test calls for."""
 
     def __init__(self, stand: Stand, buffer: int = 0) -> None:
-        assert stand.node.server is not None
+        assert stand.node.client_listener is not None
         self.socket = socket.socket()
         if buffer:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
-        self.socket.connect(stand.node.server.sockets[0].getsockname())
+        self.socket.connect(stand.node.client_listener.sockets[0].getsockname())
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
@@ -183,7 +183,7 @@
             await wait_until(
                 lambda: not stand.node.listener.connections and not stand.node.listener.lingering
             )
-            assert peer.requests.empty() and not stand.node.held
+            assert peer.requests.empty() and not stand.node.pending_requests
 
     run(test())
 
@@ -220,7 +220,7 @@
             stand.node.listener.reject_unfinished_requests()
             response = await client.receive_until_close()
             assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
-            assert not stand.node.held and peer.requests.empty()
+            assert not stand.node.pending_requests and peer.requests.empty()
 
     run(test())
 
@@ -239,7 +239,7 @@
             assert await client.receive_until_close() == b""
             client.close()
             await wait_until(lambda: not stand.node.listener.lingering)
-            assert peer.requests.qsize() == 1 and not stand.node.held
+            assert peer.requests.qsize() == 1 and not stand.node.pending_requests
 
     run(test())
 
@@ -291,7 +291,7 @@
             disconnect(client)
             await stand.event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections)
-            assert peer.requests.empty() and not stand.node.held
+            assert peer.requests.empty() and not stand.node.pending_requests
 
     run(test())
 
@@ -324,7 +324,7 @@
             disconnect(client)
             await stand.event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
 
@@ -346,11 +346,11 @@
         async with running(peer, settings=settings) as stand:
             client = RawClient(stand)
             client.send(request())
-            await wait_until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: stand.node.pool.pending_connects == 1)
             disconnect(client)
             await stand.event(Withdrawn)
             server.start_accepting()
-            await wait_until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
+            await wait_until(lambda: stand.node.pool.pending_connects == 0 and not stand.node.pool.attempts)
             with suppress(TimeoutError):  # a dial that was not cancelled succeeds within a second
                 assert await asyncio.wait_for(server.received.get(), 1.5) == b""
             server.close()
@@ -367,7 +367,7 @@
             client.close()
             await stand.event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections)
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
 
@@ -387,19 +387,19 @@
             policy = stand.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             sends: list[int] = []
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def record_send(action: Send) -> None:
                 sends.append(action.server)
                 send(action)
 
-            stand.node.perform[Send] = record_send
+            stand.node.action_handlers[Send] = record_send
             policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
                 stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
             client = await stand.client()
             response_task = asyncio.create_task(client.ask(request("book")))
-            await wait_until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
+            await wait_until(lambda: len(sends) == 2 and stand.node.pool.pending_connects == 1)
             server.start_accepting()
             status, _, _ = await response_task
             assert status != 200
@@ -411,7 +411,7 @@
 
 
 def test_cancelled_attempt_is_closed_before_next_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connections, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "CONNECTION_REUSE_DELAY_MS", 0.0)
     received_at_start: list[bytes] = []
 
     async def test() -> None:
@@ -431,7 +431,7 @@
             first_connection, _ = await asyncio.wait_for(loop.sock_accept(listener), WAIT)
             assert (await asyncio.wait_for(loop.sock_recv(first_connection, 65536), WAIT)).startswith(b"GET ")
             target["name"] = b"s-2"
-            start = ServerConnection.start
+            start = ServerConnection.send_request
 
             def check_and_start(self: ServerConnection, attempt: Attempt) -> None:
                 # Raises BlockingIOError while the first attempt is still open.
@@ -439,7 +439,7 @@
                 start(self, attempt)
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(ServerConnection, "start", check_and_start)
+                patch.setattr(ServerConnection, "send_request", check_and_start)
                 stand.node.pool.cancel(stand.node.last_id, 0)
             assert (await response_task)[0] == 200
             assert received_at_start == [b""]
@@ -478,13 +478,13 @@
         async with running(peer) as stand:
             client, loop = await stand.client(), asyncio.get_running_loop()
             assert (await client.ask(request()))[0] == 200
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def send_then_withdraw(action: Send) -> None:
                 send(action)
                 loop.call_soon(stand.node.client_gone, action.id)
 
-            stand.node.perform[Send] = send_then_withdraw
+            stand.node.action_handlers[Send] = send_then_withdraw
             client.writer.write(request())
             await stand.event(Withdrawn)
             await wait_until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
@@ -507,10 +507,10 @@
             ]
             client = await stand.client()
             response_task = asyncio.create_task(client.ask(request("pay")))
-            await wait_until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: stand.node.pool.pending_connects == 1)
             stand.agent.push(2, [peer.entry("s-1", state)])
             assert (await response_task)[0] == 200  # from the other server, while the first dial still waits
-            assert stand.node.pool.dials == 0
+            assert stand.node.pool.pending_connects == 0
             server.start_accepting()
             with suppress(TimeoutError):
                 assert await asyncio.wait_for(server.received.get(), 1.5) == b""
@@ -528,7 +528,7 @@
             stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             client = await stand.client()
             response_task = asyncio.create_task(client.ask(request("pay")))
-            await wait_until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: stand.node.pool.pending_connects == 1)
             stand.agent.push(2, [peer.entry("s-1", "leaving"), added.entry("s-2")])
             assert (await response_task)[0] == 200
             assert not stand.node.pool.attempts
@@ -544,15 +544,15 @@
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request()))[0] == 200
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
+                stand.node.on_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            stand.node.perform[Send] = send_then_drain
+            stand.node.action_handlers[Send] = send_then_drain
             assert (await client.ask(request()))[0] == 503
             await asyncio.wait_for(peer.ended.get(), WAIT)
             assert peer.requests.qsize() == 1 and peer.connections == 1
@@ -572,20 +572,20 @@
 def test_unread_input_on_idle_connection_prevents_reuse(
     cause_event: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_connections, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "CONNECTION_REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
         peer = RawPeer()
         async with running(peer) as stand:
             client = await stand.client()
             assert (await client.ask(request("pay")))[0] == 200
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def send_after_event(action: Send) -> None:
                 cause_event(peer.sockets[0])  # in the same step in which the next attempt is sent
                 send(action)
 
-            stand.node.perform[Send] = send_after_event
+            stand.node.action_handlers[Send] = send_after_event
             assert (await client.ask(request("pay")))[0] == 200  # an unsafe request: it could not be retried
             assert len(peer.sockets) == 2
         peer.close()
@@ -633,7 +633,7 @@
 def test_response_without_length_ends_with_end_of_stream_not_reset(
     end_connection: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_connections, "HOLD", 60.0)
+    monkeypatch.setattr(server_connections, "UNSIZED_BODY_DELAY_S", 60.0)
 
     class RespondingPeer(RawPeer):
         async def answer(self, sock: socket.socket) -> None:
@@ -668,7 +668,7 @@
             for start in range(0, len(data), part_size or len(data)):
                 agent.lines.put_nowait(data[start : start + part_size] if part_size else data)
             await wait_for_list(stand, 3)
-            assert stand.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
+            assert stand.node.listed_servers == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
             agent.lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
             await wait_for_list(stand, 4)
             assert calls.empty()  # no list was requested again
@@ -708,7 +708,7 @@
 
 
 def test_incomplete_list_is_replaced_by_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PART_TIME", 0.05)
+    monkeypatch.setattr(discovery, "PARTIAL_LIST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
@@ -721,8 +721,12 @@
 
 def test_silent_watch_timeouts_leave_time_for_delayed_call() -> None:
     # A change must be known within 6 s of the silence, 6.5 s for drains; a call may wait 3 s until it fails.
-    assert discovery.BEAT + 0.5 <= discovery.SILENCE <= 6.0 + 0.5 - 3.0 - discovery.RETRY_FIRST * 1.5
-    assert discovery.ANSWER_TIME > 3.0
+    assert (
+        discovery.HEARTBEAT_INTERVAL_S + 0.5
+        <= discovery.WATCH_IDLE_TIMEOUT_S
+        <= 6.0 + 0.5 - 3.0 - discovery.MIN_RETRY_DELAY_S * 1.5
+    )
+    assert discovery.RESPONSE_TIMEOUT_S > 3.0
 
 
 def test_eviction_skips_client_that_is_disconnecting(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 
 from flaxstep.proxy import client_connections, discovery, node, server_connections
 from flaxstep.proxy.client_connections import stable_id
-from flaxstep.proxy.node import MARGIN
+from flaxstep.proxy.node import CLIENT_TIMEOUT_MARGIN_MS
 from flaxstep.proxy.server_connections import IdleLimit, ServerConnection
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import (
@@ -120,7 +120,7 @@
             assert (await stand.outcome()).result == result
             assert status == (200 if result is Result.OK else 503)
             assert (field(head, b"Retry-After") is None) == (status == 200)  # a refusal says when to retry
-            assert not stand.node.held and not stand.node.pool.attempts
+            assert not stand.node.pending_requests and not stand.node.pool.attempts
 
     run(test())
 
@@ -174,19 +174,19 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             node, client = stand.node, await stand.client()
-            send = node.send
+            send = node.send_attempt
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
+                stand.node.on_list(
                     {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
                 )
 
-            node.perform[Send] = send_then_drain
+            node.action_handlers[Send] = send_then_drain
             status, _, _ = await client.ask(request())
             assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(WAIT):
-                while node.pool.dials:
+                while node.pool.pending_connects:
                     await asyncio.sleep(0.01)
             assert peer.requests.empty() and not node.pool.connections and not node.pool.attempts
 
@@ -263,7 +263,7 @@
             assert (await stand.outcome()).result == Result.CANCELLED
             await asyncio.wait_for(peer.ended.get(), WAIT)
             node = stand.node
-            assert not node.held and not node.pool.attempts and not node.listener.connections
+            assert not node.pending_requests and not node.pool.attempts and not node.listener.connections
 
     run(test())
 
@@ -273,18 +273,18 @@
         peer = await Peer().start()
         async with running(peer) as stand:
             pool, client = stand.node.pool, await stand.client()
-            send = stand.node.send
+            send = stand.node.send_attempt
 
             def send_then_cancel(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.perform[Send] = send_then_cancel
+            stand.node.action_handlers[Send] = send_then_cancel
             assert (await client.ask(request()))[0] == 503
             assert (await stand.outcome()).result == Result.CANCELLED
-            stand.node.perform[Send] = send
+            stand.node.action_handlers[Send] = send
             assert (await client.ask(request()))[0] == 200
-            assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
+            assert pool.pending_connects == 0 and len(pool.connections) == 1 and not pool.attempts
 
     run(test())
 
@@ -380,7 +380,7 @@
         async with running(peer) as stand:
             assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
             left = field(await peer.requests.get(), b"Request-Timeout")
-            assert left is not None and int(left[:-1]) <= 3000 - MARGIN
+            assert left is not None and int(left[:-1]) <= 3000 - CLIENT_TIMEOUT_MARGIN_MS
 
     run(test())
 
@@ -439,7 +439,9 @@
 def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
         async with running(await Peer().start()) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # before that the node is not ready
+            await asyncio.wait_for(
+                stand.node.list_confirmed.wait(), WAIT
+            )  # before that the node is not ready
             client = await stand.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -509,7 +511,7 @@
             assert (await client.ask(request()))[0] == 500
             stand.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.ask(request()))[0] == 200
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -557,14 +559,14 @@
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 0.05)
+    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with running(await Peer().start()) as stand:
             for _ in range(3):
                 call = await asyncio.wait_for(stand.agent.calls.get(), WAIT)
                 assert call == WATCH
-            assert stand.node.healthy and not stand.node.pool.servers.keys() - stand.node.listed
+            assert stand.node.healthy and not stand.node.pool.servers.keys() - stand.node.listed_servers
 
     run(test())
 
@@ -605,7 +607,9 @@
         # This test sets a grace.
         rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * WAIT)
         async with running(peer, settings=rules) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # confirmed by an empty line: no changes
+            await asyncio.wait_for(
+                stand.node.list_confirmed.wait(), WAIT
+            )  # confirmed by an empty line: no changes
         # From here on discovery stays silent.
         monkeypatch.setattr(discovery.Discovery, "run", lambda self: asyncio.Event().wait())
         async with running(peer, settings=rules, confirmed=False) as stand:
@@ -613,15 +617,15 @@
             assert (await client.ask(health))[0] == (200 if asks else 503)
             # Pushed changes since the list from before the restart count as known.
             assert (await client.ask(request()))[0] == (200 if asks else 503)
-            stand.node.take_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
-            stand.node.take_reach(Reach.CONFIRMED, now_ms())
+            stand.node.on_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
+            stand.node.on_reach(Reach.CONFIRMED, now_ms())
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
-        monkeypatch.setattr(node, "FIRST_LIST", 0.0)
+        monkeypatch.setattr(node, "CACHED_LIST_WAIT_S", 0.0)
         async with running(peer, settings=rules, confirmed=False) as stand:
             client = await stand.client()
             assert (await client.ask(health))[0] == (200 if asks else 503)
-            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
+            stand.node.on_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
             assert (await client.ask(health))[0] == 200
             assert (await client.ask(request()))[0] == 200
 
@@ -635,7 +639,7 @@
             client = await stand.client()
             client.writer.write(request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            stand.node.answer(stand.node.last_id, 502)
+            stand.node.send_final_response(stand.node.last_id, 502)
             stand.node.pool.cancel(stand.node.last_id, 0)
             assert (await client.answer())[0] == 502
             outcome: Outcome = await stand.outcome()
@@ -698,7 +702,7 @@
             client, answers = await stand.client(), []
             for _ in range(8):
                 for _ in range(8):
-                    clock[0] += server_connections.REST
+                    clock[0] += server_connections.CONNECTION_REUSE_DELAY_MS
                     answers.append((await client.ask(request("pay")))[0])
                 clock[0] += 500
             assert answers.count(502) == 3
@@ -710,14 +714,14 @@
 def test_resets_at_every_idle_time_keep_idle_limit_and_old_ones_expire() -> None:
     limit = IdleLimit(28000.0)
     for step in range(400):
-        limit.note(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
-    assert limit.ms == 28000.0
+        limit.record_use(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
+    assert limit.limit_ms == 28000.0
     for _ in range(100):
-        limit.note(120.0, reset=True)
-    assert limit.ms <= 100.0
+        limit.record_use(120.0, reset=True)
+    assert limit.limit_ms <= 100.0
     for _ in range(60):
-        limit.swept()
-    assert limit.ms == 28000.0
+        limit.on_sweep()
+    assert limit.limit_ms == 28000.0
 
 
 def test_longest_idle_client_is_evicted_at_descriptor_limit() -> None:
@@ -872,7 +876,7 @@
                 await invalid.end()
             assert peer.requests.empty()
             assert (await (await stand.client()).ask(request()))[0] == 200
-            assert not stand.node.held
+            assert not stand.node.pending_requests
 
     run(test())
 
