--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""Loopback peers for a node under test: servers that follow a script, discovery, and a raw client."""
+"""Loopback servers for a node under test: servers that follow a script, discovery, and a raw client."""
 
 from __future__ import annotations
 
@@ -12,104 +12,106 @@
 from flaxstep.proxy.node import Node
 from flaxstep.routing.interface import Effect, Outcome, RequestClass, Settings
 
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-CLASSES = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
-WATCH = "/catalog/members?watch=1&from=1"  # a node that knows the first list asks so
-WAIT = 10.0  # s, for what must come; only a failing test gets there
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+EFFECT_BY_CLASS = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
+WATCH_TARGET = "/catalog/members?watch=1&from=1"  # a node that knows the first list asks so
+TIMEOUT_S = 10.0  # s, for what must come; only a failing test gets there
 
-Script = Callable[["Peer", bytes, asyncio.StreamWriter], Awaitable[None]]
+ResponseScript = Callable[["FakeServer", bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def answer_ok(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
-    writer.write(OK)
+async def respond_ok(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    writer.write(OK_RESPONSE)
 
 
-def answer(data: bytes) -> Script:
-    async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+def respond_with(data: bytes) -> ResponseScript:
+    async def script(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
 
     return script
 
 
-async def hang_up(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
-async def stay_silent(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+async def never_respond(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
     pass
 
 
-class Peer:
+class FakeServer:
     """A server. Each request it gets goes into `requests`, each connection that ends into `ended`."""
 
-    def __init__(self, script: Script = answer_ok) -> None:
+    def __init__(self, script: ResponseScript = respond_ok) -> None:
         self.script = script
         self.requests: asyncio.Queue[bytes] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = asyncio.Queue()
-        self.connections = 0
+        self.closed_connections: asyncio.Queue[int] = asyncio.Queue()
+        self.connection_count = 0
 
-    async def start(self) -> Peer:
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+    async def start(self) -> FakeServer:
+        self.server = await asyncio.start_server(self.serve_connection, "127.0.0.1", 0)
         self.port: int = self.server.sockets[0].getsockname()[1]
         return self
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connection_count += 1
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                length = field(head, b"Content-Length")
+                length = header_value(head, b"Content-Length")
                 body = await reader.readexactly(int(length)) if length else b""
                 self.requests.put_nowait(head + body)
                 await self.script(self, head, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended.put_nowait(1)
+            self.closed_connections.put_nowait(1)
             writer.close()
 
-    def entry(self, name: str = "s-1", state: str = "active", started: int = 0) -> dict[str, Any]:
+    def list_entry(
+        self, name: str = "s-1", lifecycle: str = "active", started_at_ms: int = 0
+    ) -> dict[str, Any]:
         return {
             "instanceId": name,
             "hostPort": f"127.0.0.1:{self.port}",
             "zone": "a",
             "machineType": "m",
             "cell": 0,
-            "lifecycle": state,
+            "lifecycle": lifecycle,
             "weight": 1.0,
-            "startedAtMs": started,
+            "startedAtMs": started_at_ms,
         }
 
 
-class Agent:
+class FakeDiscovery:
     """Discovery. Lines put into `lines` go out on the watch; None ends it. `calls` has every target."""
 
     def __init__(self, instances: list[dict[str, Any]], generation: int = 1) -> None:
-        self.whole = {"generation": generation, "reset": True, "instances": instances}
+        self.full_list = {"generation": generation, "reset": True, "instances": instances}
         self.indent: int | None = None  # of what it writes
-        self.lines: asyncio.Queue[bytes | None] = asyncio.Queue()
-        self.calls: asyncio.Queue[str] = asyncio.Queue()
+        self.watch_lines: asyncio.Queue[bytes | None] = asyncio.Queue()
+        self.request_targets: asyncio.Queue[str] = asyncio.Queue()
 
-    async def start(self) -> Agent:
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+    async def start(self) -> FakeDiscovery:
+        self.server = await asyncio.start_server(self.serve_connection, "127.0.0.1", 0)
         self.port: int = self.server.sockets[0].getsockname()[1]
         return self
 
-    def push(self, generation: int, instances: list[dict[str, Any]], reset: bool = False) -> None:
+    def push_update(self, generation: int, instances: list[dict[str, Any]], reset: bool = False) -> None:
         line = {"generation": generation, "reset": reset, "instances": instances}
-        self.lines.put_nowait(json.dumps(line, indent=self.indent).encode() + b"\n")
+        self.watch_lines.put_nowait(json.dumps(line, indent=self.indent).encode() + b"\n")
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             head = await reader.readuntil(b"\r\n\r\n")
             target = head.split(b" ")[1].decode()
-            self.calls.put_nowait(target)
+            self.request_targets.put_nowait(target)
             if "watch" not in target:
-                body = json.dumps(self.whole, indent=self.indent).encode()
+                body = json.dumps(self.full_list, indent=self.indent).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-            while (line := await self.lines.get()) is not None:
+            while (line := await self.watch_lines.get()) is not None:
                 writer.write(b"%x\r\n%b\r\n" % (len(line), line))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -117,31 +119,31 @@
             writer.close()
 
 
-class Client:
+class RawClient:
     """One connection to the node, driven by hand."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
-    async def answer(self) -> tuple[int, bytes, bytes]:
+    async def read_response(self) -> tuple[int, bytes, bytes]:
         """Status, head and body of the next answer."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
-            body = await self.reader.readexactly(int(field(head, b"Content-Length") or 0))
+            body = await self.reader.readexactly(int(header_value(head, b"Content-Length") or 0))
         return int(head.split(b" ")[1]), head, body
 
-    async def ask(self, data: bytes) -> tuple[int, bytes, bytes]:
+    async def send_request(self, data: bytes) -> tuple[int, bytes, bytes]:
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_response()
 
-    async def end(self) -> bytes:
+    async def read_until_close(self) -> bytes:
         """What still comes until the node ends the connection."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.read()
 
 
-def field(head: bytes, name: bytes) -> bytes | None:
+def header_value(head: bytes, name: bytes) -> bytes | None:
     for line in head.split(b"\r\n")[1:]:
         key, _, value = line.partition(b": ")
         if key.lower() == name.lower():
@@ -149,15 +151,19 @@
     return None
 
 
-_ids = iter(range(1, 1 << 30))
+_request_numbers = iter(range(1, 1 << 30))
 
 
-def request(
+def build_request(
     cls: str = "find", timeout: str = "8000m", key: str = "cab7", body: bytes = b"", **headers: str
 ) -> bytes:
-    effect = CLASSES.get(cls, Effect.SAFE)
+    effect = EFFECT_BY_CLASS.get(cls, Effect.SAFE)
     method = "GET" if effect is Effect.SAFE else "POST"
-    lines = {"Host": "backend.local", "Request-Id": f"{next(_ids):016x}", "Request-Timeout": timeout}
+    lines = {
+        "Host": "backend.local",
+        "Request-Id": f"{next(_request_numbers):016x}",
+        "Request-Timeout": timeout,
+    }
     if effect is Effect.KEYED:
         lines["Idempotency-Key"] = "5c0f"
     if method == "POST":
@@ -167,23 +173,25 @@
     return f"{method} /{cls}/{key} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-def config(discovery: int, aim: float = 5000.0, attempts: int = 1, **changes: Any) -> Config:
+def make_config(discovery_port: int, aim_ms: float = 5000.0, max_attempts: int = 1, **changes: Any) -> Config:
     classes = tuple(
-        RequestClass(aim=aim, deadline=9000.0, worth=1.0, effect=effect, window=9000.0)
-        for effect in CLASSES.values()
+        RequestClass(aim=aim_ms, deadline=9000.0, worth=1.0, effect=effect, window=9000.0)
+        for effect in EFFECT_BY_CLASS.values()
     )
     values: dict[str, Any] = {
         "name": "n0",
         "listen": ("127.0.0.1", 0),
-        "discovery": ("127.0.0.1", discovery),
+        "discovery": ("127.0.0.1", discovery_port),
         "admin": None,
         "shared_folder": None,
         "seed": 1,
         "sockets": 1024,
         "memory_mb": 128,
         "known_list": {},
-        "settings": Settings(classes=classes, may_cancel=True, max_attempts=attempts, max_retry_after=600.0),
-        "classes": {name.encode(): i for i, name in enumerate(CLASSES)},
+        "settings": Settings(
+            classes=classes, may_cancel=True, max_attempts=max_attempts, max_retry_after=600.0
+        ),
+        "classes": {name.encode(): i for i, name in enumerate(EFFECT_BY_CLASS)},
         "tenants": {},
         "kinds": {"m": 0},
         "zones": {"a": 0},
@@ -193,12 +201,12 @@
     return Config(**values | changes)
 
 
-class Stand:
+class NodeFixture:
     """A running node with what its policy was told."""
 
-    def __init__(self, node: Node, agent: Agent) -> None:
+    def __init__(self, node: Node, discovery: FakeDiscovery) -> None:
         self.node = node
-        self.agent = agent
+        self.discovery = discovery
         self.events: asyncio.Queue[object] = asyncio.Queue()
         handle = node.policy.handle
 
@@ -209,45 +217,47 @@
 
         node.policy.handle = spy  # type: ignore[method-assign]
 
-    async def event(self, kind: type) -> Any:
+    async def next_event(self, kind: type) -> Any:
         """The next event of a kind that the policy is told."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(event := await self.events.get(), kind):
                 pass
         return event
 
-    async def outcome(self) -> Outcome:
-        event: Outcome = await self.event(Outcome)
+    async def next_outcome(self) -> Outcome:
+        event: Outcome = await self.next_event(Outcome)
         return event
 
-    async def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
+    async def call_admin(self, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
         """One call at the operators' door: status and text."""
-        caller = await self.caller()
+        caller = await self.connect_admin()
         head = f"{method} /admin/{path} HTTP/1.1\r\nHost: n0\r\nContent-Length: {len(body)}\r\n\r\n"
-        status, _, text = await caller.ask(head.encode() + body)
+        status, _, text = await caller.send_request(head.encode() + body)
         return status, text.decode()
 
-    async def caller(self) -> Client:
+    async def connect_admin(self) -> RawClient:
         assert self.node.door is not None
-        return Client(*await asyncio.open_connection(*self.node.door.sockets[0].getsockname()))
+        return RawClient(*await asyncio.open_connection(*self.node.door.sockets[0].getsockname()))
 
-    async def client(self) -> Client:
+    async def connect_client(self) -> RawClient:
         assert self.node.server is not None
-        return Client(*await asyncio.open_connection(*self.node.server.sockets[0].getsockname()))
+        return RawClient(*await asyncio.open_connection(*self.node.server.sockets[0].getsockname()))
 
 
 @asynccontextmanager
-async def running(*peers: Peer, confirmed: bool = True, **changes: Any) -> AsyncIterator[Stand]:
+async def run_node(
+    *servers: FakeServer, wait_for_list: bool = True, **changes: Any
+) -> AsyncIterator[NodeFixture]:
     """A node that knows these servers as s-1, s-2 and so on, once discovery has confirmed that it does."""
-    entries = [peer.entry(f"s-{i}") for i, peer in enumerate(peers, 1)]
-    agent = await Agent(entries).start()
+    entries = [server.list_entry(f"s-{i}") for i, server in enumerate(servers, 1)]
+    discovery = await FakeDiscovery(entries).start()
     known = {"generation": 1, "reset": True, "instances": entries}
-    node = Node(config(agent.port, **{"known_list": known} | changes), asyncio.get_running_loop())
-    stand = Stand(node, agent)
+    node = Node(make_config(discovery.port, **{"known_list": known} | changes), asyncio.get_running_loop())
+    fixture = NodeFixture(node, discovery)
     await node.start()
     try:
-        async with asyncio.timeout(WAIT if confirmed else None):
-            await (node.told.wait() if confirmed else asyncio.sleep(0))
-        yield stand
+        async with asyncio.timeout(TIMEOUT_S if wait_for_list else None):
+            await (node.told.wait() if wait_for_list else asyncio.sleep(0))
+        yield fixture
     finally:
         node.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,7 +8,7 @@
 import pytest
 
 from flaxstep.proxy import admin, client_connections
-from tests.net import WAIT, Peer, answer_ok, field, request, running
+from tests.net import TIMEOUT_S, FakeServer, build_request, header_value, respond_ok, run_node
 from tests.test_node import run
 
 ADMIN_ADDRESS = ("127.0.0.1", 0)
@@ -16,14 +16,14 @@
 
 
 async def wait_until(condition: Any) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 def test_no_admin_port_without_address() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with run_node(await FakeServer().start()) as stand:
             assert stand.node.door is None
 
     run(test())
@@ -51,13 +51,13 @@
 @pytest.mark.parametrize(("data", "status"), INVALID_CALLS, ids=range(len(INVALID_CALLS)))
 def test_invalid_call_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
-            caller = await stand.caller()
-            received_status, head, body = await caller.ask(data)
-            assert (received_status, field(head, b"Connection")) == (status, b"close")
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
+            caller = await stand.connect_admin()
+            received_status, head, body = await caller.send_request(data)
+            assert (received_status, header_value(head, b"Connection")) == (status, b"close")
             assert body.endswith(b"\n") and b"Traceback" not in body
-            assert await caller.end() == b""
-            assert await stand.call("GET", "health") == (200, "ready\n")
+            assert await caller.read_until_close() == b""
+            assert await stand.call_admin("GET", "health") == (200, "ready\n")
 
     run(test())
 
@@ -77,28 +77,28 @@
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
-            stalled = [await stand.caller() for _ in range(3 * admin.MAX_CONNECTIONS)]
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
+            stalled = [await stand.connect_admin() for _ in range(3 * admin.MAX_CONNECTIONS)]
             for caller in stalled[::2]:
                 caller.writer.write(b"POST /admin/quiesce HTTP/1.1\r\nContent-Le")
-            assert await stand.call("GET", "health") == (200, "ready\n")
+            assert await stand.call_admin("GET", "health") == (200, "ready\n")
             for caller in stalled:
-                assert (await caller.answer())[0] == 408
-                assert await caller.end() == b""
+                assert (await caller.read_response())[0] == 408
+                assert await caller.read_until_close() == b""
 
     run(test())
 
 
 def test_call_may_arrive_in_parts_and_only_first_is_served() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
-            caller = await stand.caller()
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
+            caller = await stand.connect_admin()
             data = call(b"GET /admin/health HTTP/1.1") + call(b"POST /admin/quiesce HTTP/1.1")
             for i in range(len(data)):
                 caller.writer.write(data[i : i + 1])
                 await asyncio.sleep(0)
-            assert (await caller.answer())[0] == 200
-            assert await caller.end() == b""
+            assert (await caller.read_response())[0] == 200
+            assert await caller.read_until_close() == b""
             assert not stand.node.quiesced
 
     run(test())
@@ -106,9 +106,9 @@
 
 def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
-        async with running(admin=ADMIN_ADDRESS, known_list={}) as stand:
+        async with run_node(admin=ADMIN_ADDRESS, known_list={}) as stand:
             stand.node.healthy = False  # the state before the first list
-            assert (await stand.call("GET", "health"))[0] == 503
+            assert (await stand.call_admin("GET", "health"))[0] == 503
 
     run(test())
 
@@ -117,41 +117,41 @@
     monkeypatch.setattr(client_connections, "DRAIN_GRACE_FOR_NEW_S", 0.1)
     release = asyncio.Event()
 
-    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await answer_ok(peer, head, writer)
+        await respond_ok(peer, head, writer)
 
     async def test() -> None:
-        peer = await Peer(delayed_response).start()
-        async with running(peer, admin=ADMIN_ADDRESS) as stand:
-            idle, pending = await stand.client(), await stand.client()
+        peer = await FakeServer(delayed_response).start()
+        async with run_node(peer, admin=ADMIN_ADDRESS) as stand:
+            idle, pending = await stand.connect_client(), await stand.connect_client()
             release.set()
-            assert (await idle.ask(request()))[0] == 200
+            assert (await idle.send_request(build_request()))[0] == 200
             release.clear()
-            pending.writer.write(request())
+            pending.writer.write(build_request())
             await wait_until(lambda: len(stand.node.held) == 1)
-            assert (await stand.call("POST", "quiesce"))[0] == 200
-            assert (await stand.call("POST", "quiesce"))[0] == 200
-            assert await idle.end() == b""  # closed without a request on it
-            newcomer = await stand.client()  # the client has not switched to another node yet
-            newcomer.writer.write(request())
+            assert (await stand.call_admin("POST", "quiesce"))[0] == 200
+            assert (await stand.call_admin("POST", "quiesce"))[0] == 200
+            assert await idle.read_until_close() == b""  # closed without a request on it
+            newcomer = await stand.connect_client()  # the client has not switched to another node yet
+            newcomer.writer.write(build_request())
             await wait_until(lambda: len(stand.node.held) == 2)
-            silent = await stand.client()
-            assert (await (await stand.client()).ask(HEALTH))[0] == 503
-            assert (await stand.call("GET", "health"))[0] == 503
-            assert await silent.end() == b""  # a connection without a request is closed
+            silent = await stand.connect_client()
+            assert (await (await stand.connect_client()).send_request(HEALTH))[0] == 503
+            assert (await stand.call_admin("GET", "health"))[0] == 503
+            assert await silent.read_until_close() == b""  # a connection without a request is closed
             release.set()
             for waiting in (pending, newcomer):
-                status, head, _ = await waiting.answer()
-                assert (status, field(head, b"Connection")) == (200, b"close")
-                assert await waiting.end() == b""
+                status, head, _ = await waiting.read_response()
+                assert (status, header_value(head, b"Connection")) == (200, b"close")
+                assert await waiting.read_until_close() == b""
             await wait_until(lambda: not stand.node.listener.connections)
-            assert (await stand.call("POST", "resume"))[0] == 200
-            assert (await stand.call("POST", "resume"))[0] == 200
-            assert await stand.call("GET", "health") == (200, "ready\n")
-            back = await stand.client()
-            assert (await back.ask(HEALTH))[0] == 200
-            assert field((await back.ask(request()))[1], b"Connection") is None
+            assert (await stand.call_admin("POST", "resume"))[0] == 200
+            assert (await stand.call_admin("POST", "resume"))[0] == 200
+            assert await stand.call_admin("GET", "health") == (200, "ready\n")
+            back = await stand.connect_client()
+            assert (await back.send_request(HEALTH))[0] == 200
+            assert header_value((await back.send_request(build_request()))[1], b"Connection") is None
 
     run(test())
 
@@ -160,12 +160,12 @@
     monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
 
     async def test() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS) as stand:
-            assert (await stand.call("POST", "quiesce"))[0] == 200
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
+            assert (await stand.call_admin("POST", "quiesce"))[0] == 200
             drain = asyncio.ensure_future(stand.node.drain())
             await wait_until(lambda: stand.node.stopping)
-            assert (await stand.call("POST", "resume"))[0] == 409
-            assert (await stand.call("GET", "health"))[0] == 503
-            await asyncio.wait_for(drain, WAIT)
+            assert (await stand.call_admin("POST", "resume"))[0] == 409
+            assert (await stand.call_admin("GET", "health"))[0] == 503
+            await asyncio.wait_for(drain, TIMEOUT_S)
 
     run(test())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,7 +15,18 @@
 from flaxstep.proxy.request_bodies import BUFFERED_BODY_BYTES, MIN_BODY_SHARE_BYTES, BodyBudget
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import Began, Outcome, Request, Result, Uploaded
-from tests.net import OK, WAIT, Client, Peer, Stand, answer, field, request, running, stay_silent
+from tests.net import (
+    OK_RESPONSE,
+    TIMEOUT_S,
+    FakeServer,
+    NodeFixture,
+    RawClient,
+    build_request,
+    header_value,
+    never_respond,
+    respond_with,
+    run_node,
+)
 from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_metrics import stats
 from tests.test_node import run
@@ -33,15 +44,15 @@
 def upload_request(body: bytes, framing: str = "length", **headers: str) -> bytes:
     """A request with a large body, with Content-Length or chunked."""
     if framing == "length":
-        return request("pay", body=body, **headers)
-    head = request("pay", Transfer_Encoding="chunked", **headers).replace(b"Content-Length: 0\r\n", b"")
+        return build_request("pay", body=body, **headers)
+    head = build_request("pay", Transfer_Encoding="chunked", **headers).replace(b"Content-Length: 0\r\n", b"")
     return head + chunked(body)
 
 
 class ControlledServer:
     """A server for one request. The test sees what has arrived and decides when the server reads on."""
 
-    def __init__(self, response: bytes = OK) -> None:
+    def __init__(self, response: bytes = OK_RESPONSE) -> None:
         self.response = response
         self.head: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.body = bytearray()
@@ -49,8 +60,8 @@
         self.may_read.set()
         self.ended = asyncio.Event()
 
-    async def start(self) -> Peer:
-        peer = Peer()
+    async def start(self) -> FakeServer:
+        peer = FakeServer()
         peer.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         peer.port = peer.server.sockets[0].getsockname()[1]
         return peer
@@ -60,11 +71,11 @@
             head = await reader.readuntil(b"\r\n\r\n")
             self.head.set_result(head)
             await self.may_read.wait()
-            if length := field(head, b"Content-Length"):
+            if length := header_value(head, b"Content-Length"):
                 while len(self.body) < int(length):
                     self.body += await reader.readexactly(min(65536, int(length) - len(self.body)))
                     await self.may_read.wait()
-            elif field(head, b"Transfer-Encoding"):
+            elif header_value(head, b"Transfer-Encoding"):
                 while size := int(await reader.readline(), 16):
                     self.body += (await reader.readexactly(size + 2))[:-2]
                     await self.may_read.wait()
@@ -80,10 +91,10 @@
 
 @asynccontextmanager
 async def running_controlled_server(
-    response: bytes = OK, **changes: object
-) -> AsyncIterator[tuple[Stand, ControlledServer]]:
+    response: bytes = OK_RESPONSE, **changes: object
+) -> AsyncIterator[tuple[NodeFixture, ControlledServer]]:
     server = ControlledServer(response)
-    async with running(await server.start(), **changes) as stand:
+    async with run_node(await server.start(), **changes) as stand:
         yield stand, server
 
 
@@ -91,22 +102,24 @@
 def test_large_request_body_is_forwarded_unchanged_while_it_arrives(framing: str) -> None:
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
-            client = await stand.client()
+            client = await stand.connect_client()
             data = upload_request(LARGE_BODY, framing)
             client.writer.write(data[: len(data) // 2])
-            event = await stand.event(Request)
+            event = await stand.next_event(Request)
             assert event.uploading
-            head = await asyncio.wait_for(server.head, WAIT)
-            assert (field(head, b"Content-Length") is None) == (framing == "chunked")
+            head = await asyncio.wait_for(server.head, TIMEOUT_S)
+            assert (header_value(head, b"Content-Length") is None) == (framing == "chunked")
             await wait_until(lambda: len(server.body) > len(LARGE_BODY) // 3)  # before the rest is sent
             client.writer.write(data[len(data) // 2 :])
-            assert (await client.answer())[2] == b"done"
+            assert (await client.read_response())[2] == b"done"
             assert bytes(server.body) == LARGE_BODY
-            due = (await stand.event(Uploaded)).due  # the timeout starts at the last byte
+            due = (await stand.next_event(Uploaded)).due  # the timeout starts at the last byte
             assert 0 < due - now_ms() < 8000.0
-            assert (await stand.outcome()).result == Result.OK
+            assert (await stand.next_outcome()).result == Result.OK
             assert stand.node.body_budget.body_count == 0 and not stand.node.held
-            assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200  # the connection stays open
+            assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[
+                0
+            ] == 200  # the connection stays open
 
     run(test())
 
@@ -120,13 +133,13 @@
 }
 
 
-async def read_response(client: Client) -> tuple[bytes, bytes]:
+async def read_response(client: RawClient) -> tuple[bytes, bytes]:
     """Return head and body of a response with any framing."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(TIMEOUT_S):
         head = await client.reader.readuntil(b"\r\n\r\n")
-        if length := field(head, b"Content-Length"):
+        if length := header_value(head, b"Content-Length"):
             return head, await client.reader.readexactly(int(length))
-        if not field(head, b"Transfer-Encoding"):
+        if not header_value(head, b"Transfer-Encoding"):
             return head, await client.reader.read()
         body = bytearray()
         while size := int(await client.reader.readline(), 16):
@@ -138,19 +151,19 @@
 @pytest.mark.parametrize("framing", RESPONSES)
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 def test_large_response_is_forwarded_unchanged(framing: str, version: bytes) -> None:
-    async def end_after(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def end_after(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(RESPONSES[framing])
         if framing == "close":
             writer.close()
 
     async def test() -> None:
-        async with running(await Peer(end_after).start()) as stand:
-            client = await stand.client()
-            client.writer.write(request().replace(b"HTTP/1.1", version))
+        async with run_node(await FakeServer(end_after).start()) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request().replace(b"HTTP/1.1", version))
             head, body = await read_response(client)
-            assert body == LARGE_BODY and field(head, b"Content-Type") == b"x/y"
-            assert isinstance(await stand.event(Began), Began)
-            outcome = await stand.outcome()
+            assert body == LARGE_BODY and header_value(head, b"Content-Type") == b"x/y"
+            assert isinstance(await stand.next_event(Began), Began)
+            outcome = await stand.next_outcome()
             assert (outcome.result, outcome.over) == (Result.OK, True)
             assert (
                 stand.node.body_budget.body_count == 0
@@ -158,26 +171,26 @@
                 and not stand.node.pool.attempts
             )
             if version == b"HTTP/1.1":
-                assert field(head, b"Connection") is None
-                client.writer.write(request())
+                assert header_value(head, b"Connection") is None
+                client.writer.write(build_request())
                 assert (await read_response(client))[1] == LARGE_BODY
             else:
-                assert await client.end() == b""
+                assert await client.read_until_close() == b""
 
     run(test())
 
 
 def test_short_response_ended_by_close_is_complete() -> None:
-    async def close(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def close(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\ndone")
         writer.close()
 
     async def test() -> None:
-        peer = await Peer(close).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(request()))[2] == b"done"
-            assert (await stand.outcome()).result == Result.OK
+        peer = await FakeServer(close).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[2] == b"done"
+            assert (await stand.next_outcome()).result == Result.OK
 
     run(test())
 
@@ -185,7 +198,7 @@
 def test_first_response_bytes_are_not_delayed_until_the_end() -> None:
     may_finish = asyncio.Event()
 
-    async def respond_in_two_parts(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_in_two_parts(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if b"/chunked" in head:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
             await may_finish.wait()
@@ -196,15 +209,15 @@
             writer.write(bytes(70000 - 5))
 
     async def test() -> None:
-        async with running(await Peer(respond_in_two_parts).start()) as stand:
+        async with run_node(await FakeServer(respond_in_two_parts).start()) as stand:
             for key in ("chunked", "length"):
                 may_finish.clear()
-                client = await stand.client()
-                client.writer.write(request(key=key))
-                async with asyncio.timeout(WAIT):
+                client = await stand.connect_client()
+                client.writer.write(build_request(key=key))
+                async with asyncio.timeout(TIMEOUT_S):
                     await client.reader.readuntil(b"first")
                 may_finish.set()
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(TIMEOUT_S):
                     await client.reader.readuntil(b"last\r\n0\r\n\r\n" if key == "chunked" else bytes(60000))
                 client.writer.close()
 
@@ -214,15 +227,15 @@
 @pytest.mark.parametrize("framing", RESPONSES)
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 def test_client_sees_truncated_response(framing: str, version: bytes) -> None:
-    async def reset_half_way(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def reset_half_way(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(RESPONSES[framing][: len(LARGE_BODY) // 2])
         await asyncio.sleep(0.1)  # let it be sent: the reset discards what is still unsent
         reset_connection(cast(asyncio.Transport, writer.transport))
 
     async def test() -> None:
-        async with running(await Peer(reset_half_way).start(), admin=ADMIN_ADDRESS) as stand:
-            client = await stand.client()
-            client.writer.write(request("book").replace(b"HTTP/1.1", version))
+        async with run_node(await FakeServer(reset_half_way).start(), admin=ADMIN_ADDRESS) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request("book").replace(b"HTTP/1.1", version))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 assert len((await read_response(client))[1]) < 0  # not reached: it raises
             statistics = await stats(stand)
@@ -239,7 +252,7 @@
 def test_slow_client_pauses_its_server_and_node_buffers_little() -> None:
     written = [0]
 
-    async def stream_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
         for _ in range(32 << 20 >> 16):
             writer.write(bytes(65536))
@@ -247,11 +260,11 @@
             await writer.drain()
 
     async def test() -> None:
-        async with running(await Peer(stream_response).start(), admin=ADMIN_ADDRESS) as stand:
-            client = await stand.client()
+        async with run_node(await FakeServer(stream_response).start(), admin=ADMIN_ADDRESS) as stand:
+            client = await stand.connect_client()
             client.reader._limit = 1  # type: ignore[attr-defined]  # read little
-            client.writer.write(request())
-            async with asyncio.timeout(WAIT):
+            client.writer.write(build_request())
+            async with asyncio.timeout(TIMEOUT_S):
                 assert await client.reader.read(1) == b"H"
             before = -1
             while before != written[0]:  # until all buffers are full
@@ -263,7 +276,7 @@
             assert (await stats(stand))["outstanding"] == 1
             client.reader._limit = 1 << 20  # type: ignore[attr-defined]
             left = 32 << 20
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 while left > 0:
                     left -= len(await client.reader.read(1 << 20))
                     if not stand.node.held:
@@ -278,9 +291,9 @@
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
             server.may_read.clear()
-            client = await stand.client()
+            client = await stand.connect_client()
             client.writer.write(upload_request(bytes(30 << 20)))
-            await asyncio.wait_for(server.head, WAIT)
+            await asyncio.wait_for(server.head, TIMEOUT_S)
             before = -1
             while before != client.writer.transport.get_write_buffer_size():
                 before = client.writer.transport.get_write_buffer_size()
@@ -289,7 +302,7 @@
             (connection,) = stand.node.pool.connections
             assert connection.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES + 100
             server.may_read.set()
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
             assert len(server.body) == 30 << 20
 
     run(test())
@@ -301,17 +314,17 @@
     monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
 
     async def test() -> None:
-        async with running_controlled_server(attempts=3) as (stand, server):
+        async with running_controlled_server(max_attempts=3) as (stand, server):
             server.may_read.clear()
-            client = await stand.client()
+            client = await stand.connect_client()
             client.writer.write(upload_request(bytes(30 << 20)))
-            status, head, _ = await client.answer()  # although the body is incomplete
-            assert status == 503 and field(head, b"Retry-After")
-            outcome = await stand.outcome()
+            status, head, _ = await client.read_response()  # although the body is incomplete
+            assert status == 503 and header_value(head, b"Retry-After")
+            outcome = await stand.next_outcome()
             assert (outcome.result, outcome.spent) == (Result.UNREACHABLE, True)
             # The node reads and discards the rest.
             await wait_until(lambda: client.writer.transport.get_write_buffer_size() == 0)
-            assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
+            assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             assert stand.node.body_budget.body_count == 0
 
     run(test())
@@ -319,14 +332,14 @@
 
 def test_server_that_closes_during_upload_is_unreachable() -> None:
     async def test() -> None:
-        async with running_controlled_server(attempts=3) as (stand, server):
-            client = await stand.client()
+        async with running_controlled_server(max_attempts=3) as (stand, server):
+            client = await stand.connect_client()
             data = upload_request(LARGE_BODY)
             client.writer.write(data[:-10])
             await wait_until(lambda: len(server.body) > 100_000)
             stand.node.pool.attempts.copy().popitem()[1].connection.transport.abort()  # type: ignore[union-attr]
-            status, _, _ = await client.answer()
-            outcome = await stand.outcome()
+            status, _, _ = await client.read_response()
+            outcome = await stand.next_outcome()
             assert (status, outcome.result, outcome.spent) == (503, Result.UNREACHABLE, True)
 
     run(test())
@@ -341,16 +354,16 @@
         writer.close()
 
     async def test() -> None:
-        peer = Peer()
+        peer = FakeServer()
         peer.server = await asyncio.start_server(reject_early, "127.0.0.1", 0)
         peer.port = peer.server.sockets[0].getsockname()[1]
-        async with running(peer, attempts=3) as stand:
-            client = await stand.client()
+        async with run_node(peer, max_attempts=3) as stand:
+            client = await stand.connect_client()
             data = upload_request(LARGE_BODY)
             client.writer.write(data[: len(data) // 2])
-            assert (await client.answer())[0] == 503
+            assert (await client.read_response())[0] == 503
             client.writer.write(data[len(data) // 2 :])
-            assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
+            assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
 
     run(test())
 
@@ -358,12 +371,12 @@
 def test_aborted_upload_does_not_count_against_server() -> None:
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
-            client = await stand.client()
+            client = await stand.connect_client()
             client.writer.write(upload_request(LARGE_BODY)[: len(LARGE_BODY) // 2])
             await wait_until(lambda: len(server.body) > 100_000)
             client.writer.transport.abort()
-            assert (await stand.outcome()).result == Result.CANCELLED
-            await asyncio.wait_for(server.ended.wait(), WAIT)
+            assert (await stand.next_outcome()).result == Result.CANCELLED
+            await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
             assert (
                 not stand.node.held
                 and not stand.node.pool.attempts
@@ -385,13 +398,13 @@
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
             object.__setattr__(stand.node.policy.settings, "may_cancel", may_cancel)
-            client = await stand.client()
+            client = await stand.connect_client()
             data = upload_request(LARGE_BODY, "chunked")
             client.writer.write(data.removesuffix(LAST_CHUNK) + b"nothing of the kind\r\n")
-            assert (await client.answer())[0] == 400
-            assert await client.end() == b""
-            await asyncio.wait_for(server.ended.wait(), WAIT)
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await client.read_response())[0] == 400
+            assert await client.read_until_close() == b""
+            await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
+            assert (await stand.next_outcome()).result == Result.CANCELLED
             assert not stand.node.pool.attempts and stand.node.figures.forwards == 0
 
     run(test())
@@ -403,16 +416,16 @@
 
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
-            client, data = await stand.client(), upload_request(bytes(400_000))
+            client, data = await stand.connect_client(), upload_request(bytes(400_000))
             for i in range(0, len(data), 40_000):  # 1 s at the minimum rate, and the timeout of 0.4 s
                 client.writer.write(data[i : i + 40_000])
                 await asyncio.sleep(0.08)
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
         async with running_controlled_server() as (stand, server):
-            client = await stand.client()
+            client = await stand.connect_client()
             client.writer.write(upload_request(LARGE_BODY)[:100_000])
-            assert (await client.answer())[0] == 408
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await client.read_response())[0] == 408
+            assert (await stand.next_outcome()).result == Result.CANCELLED
 
     run(test())
 
@@ -424,12 +437,12 @@
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 20_000)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            client, data = await stand.client(), request("pay", body=bytes(30_000))
+        async with run_node(await FakeServer().start()) as stand:
+            client, data = await stand.connect_client(), build_request("pay", body=bytes(30_000))
             for i in range(0, 3_000 if stalls else len(data), 3_000):  # buffered whole
                 client.writer.write(data[i : i + 3_000])
                 await asyncio.sleep(0.08)
-            assert (await client.answer())[0] == (408 if stalls else 200)
+            assert (await client.read_response())[0] == (408 if stalls else 200)
 
     run(test())
 
@@ -437,23 +450,23 @@
 def test_large_pipelined_body_waits_for_earlier_request() -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if head.startswith(b"GET"):
             await release.wait()
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await Peer(delayed_response).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            client.writer.write(request() + upload_request(LARGE_BODY) + request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+        peer = await FakeServer(delayed_response).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request() + upload_request(LARGE_BODY) + build_request())
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             assert len(stand.node.held) == 1
             (connection,) = stand.node.listener.connections
             await wait_until(lambda: connection.paused_for_upload)  # reading is paused meanwhile
             release.set()
             for _ in range(3):
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
             assert len(await peer.requests.get()) > len(LARGE_BODY)
 
     run(test())
@@ -462,17 +475,17 @@
 def test_100_continue_is_sent_when_accepted_but_not_when_refused() -> None:
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
-            client = await stand.client()
+            client = await stand.connect_client()
             data = upload_request(LARGE_BODY, Expect="100-continue")
             head, body = data[: -len(LARGE_BODY)], data[-len(LARGE_BODY) :]
-            assert (await client.ask(head))[0] == 100
-            assert (await client.ask(body))[0] == 200
-            late = await stand.client()
+            assert (await client.send_request(head))[0] == 100
+            assert (await client.send_request(body))[0] == 200
+            late = await stand.connect_client()
             stand.node.cordon(b"s-1")  # no server is left
-            status, headers, _ = await late.ask(
+            status, headers, _ = await late.send_request(
                 upload_request(LARGE_BODY, Expect="100-continue")[: -len(LARGE_BODY)]
             )
-            assert (status, field(headers, b"Connection")) == (503, b"close")
+            assert (status, header_value(headers, b"Connection")) == (503, b"close")
 
     run(test())
 
@@ -482,26 +495,26 @@
 
     async def test() -> None:
         async with running_controlled_server() as (stand, server):
-            client = await stand.client()
+            client = await stand.connect_client()
             client.writer.write(upload_request(LARGE_BODY, "chunked"))
-            assert (await client.answer())[0] == 413
-            await asyncio.wait_for(server.ended.wait(), WAIT)
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await client.read_response())[0] == 413
+            await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
+            assert (await stand.next_outcome()).result == Result.CANCELLED
 
     run(test())
 
 
 def test_failed_dial_leaves_body_for_next_attempt() -> None:
     async def test() -> None:
-        unreachable = await Peer().start()
+        unreachable = await FakeServer().start()
         unreachable.server.close()
         server = ControlledServer()
-        async with running(unreachable, await server.start(), attempts=3) as stand:
+        async with run_node(unreachable, await server.start(), max_attempts=3) as stand:
             stand.node.policy.random.seed(3)
             outcomes = []
             for _ in range(12):
-                client = await stand.client()
-                if (await client.ask(upload_request(LARGE_BODY)))[0] == 200:
+                client = await stand.connect_client()
+                if (await client.send_request(upload_request(LARGE_BODY)))[0] == 200:
                     break
             while not stand.events.empty():
                 event = stand.events.get_nowait()
@@ -515,13 +528,13 @@
 
 def test_timeout_of_request_starts_after_upload() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer, aim=9000.0) as stand:
-            client = await stand.client()
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer, aim_ms=9000.0) as stand:
+            client = await stand.connect_client()
             client.writer.write(upload_request(LARGE_BODY).replace(b"8000m", b"300m"))
-            status, _, _ = await client.answer()
+            status, _, _ = await client.read_response()
             # An unsafe request that may have run gets 502.
-            assert (status, (await stand.outcome()).result) == (
+            assert (status, (await stand.next_outcome()).result) == (
                 502,
                 Result.TIMEOUT,
             )
@@ -549,10 +562,10 @@
     """With too many bodies to buffer each one whole, even bodies under 64 KiB are forwarded in parts."""
 
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer, memory_mb=8) as stand:  # a budget of 1 MiB
-            senders = [await stand.client() for _ in range(60)]
-            data = request("pay", body=bytes(60_000))
+        peer = await FakeServer().start()
+        async with run_node(peer, memory_mb=8) as stand:  # a budget of 1 MiB
+            senders = [await stand.connect_client() for _ in range(60)]
+            data = build_request("pay", body=bytes(60_000))
             for sender in senders:
                 sender.writer.write(data[:-1])
 
@@ -567,7 +580,7 @@
             for sender in senders:
                 sender.writer.write(data[-1:])
             for sender in senders:
-                assert (await sender.answer())[0] in (200, 503)
+                assert (await sender.read_response())[0] in (200, 503)
             assert stand.node.body_budget.body_count == 0
 
     run(test())
@@ -578,18 +591,18 @@
     monkeypatch.setattr(server_connections, "SWEEP", 0.05)
 
     async def test() -> None:
-        async with running(await Peer(answer(RESPONSES["length"][:500_000])).start()) as stand:
-            client = await stand.client()
-            client.writer.write(request())
+        async with run_node(await FakeServer(respond_with(RESPONSES["length"][:500_000])).start()) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_response(client)
-            assert (await stand.outcome()).result == Result.RESET
+            assert (await stand.next_outcome()).result == Result.RESET
 
     run(test())
 
 
 def test_client_that_disconnects_during_response_leaves_no_state_behind() -> None:
-    async def stream_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
         with suppress(ConnectionError):
             for _ in range(32 << 20 >> 16):
@@ -597,14 +610,14 @@
                 await writer.drain()
 
     async def test() -> None:
-        peer = await Peer(stream_response).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            client.writer.write(request())
-            async with asyncio.timeout(WAIT):
+        peer = await FakeServer(stream_response).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request())
+            async with asyncio.timeout(TIMEOUT_S):
                 await client.reader.read(1000)
             client.writer.transport.abort()
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
             await wait_until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
             assert not stand.node.held and stand.node.body_budget.body_count == 0
 
--- a/tests/test_cordon.py
+++ b/tests/test_cordon.py
@@ -14,7 +14,7 @@
 from flaxstep.proxy.client_connections import stable_id
 from flaxstep.proxy.shared_state import OperatorState, SharedState
 from flaxstep.routing.interface import Cordon, ListKind, Result, Send, ServerList, State, Uncordon
-from tests.net import WAIT, Peer, Stand, request, running
+from tests.net import TIMEOUT_S, FakeServer, NodeFixture, build_request, run_node
 from tests.support import START, PolicyHarness, make_server_entry, make_settings
 from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_metrics import stats
@@ -101,36 +101,40 @@
 
 def test_calls_out_and_back_at_the_door() -> None:
     async def test() -> None:
-        peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
-            client = await stand.client()
+        peers = [await FakeServer().start(), await FakeServer().start()]
+        async with run_node(*peers, admin=ADMIN_ADDRESS) as stand:
+            client = await stand.connect_client()
             for _ in range(8):
-                assert (await client.ask(request()))[0] == 200
+                assert (await client.send_request(build_request()))[0] == 200
             for body, status in ((b"s-9", 404), (b"", 400), (b"\xff", 400), (b"x" * 300, 413)):
                 for call in ("cordon", "uncordon"):
-                    assert (await stand.call("POST", call, body))[0] == status
+                    assert (await stand.call_admin("POST", call, body))[0] == status
             for body in (b"s-1", b"s-1\n"):  # twice out
-                assert (await stand.call("POST", "cordon", body))[0] == 200
-            await wait_until(lambda: peers[0].ended.qsize() == peers[0].connections)  # idle ones are closed
+                assert (await stand.call_admin("POST", "cordon", body))[0] == 200
+            await wait_until(
+                lambda: peers[0].closed_connections.qsize() == peers[0].connection_count
+            )  # idle ones are closed
             assert (await stats(stand))["ejected"] == 1
             before = peers[0].requests.qsize()
-            stand.agent.push(2, [peers[0].entry("s-1", "left")])  # restarts: missing, then back
-            stand.agent.push(3, [peers[0].entry("s-1")])
-            while (await stand.event(ServerList)).version != 3:
+            stand.discovery.push_update(
+                2, [peers[0].list_entry("s-1", "left")]
+            )  # restarts: missing, then back
+            stand.discovery.push_update(3, [peers[0].list_entry("s-1")])
+            while (await stand.next_event(ServerList)).version != 3:
                 pass
             for _ in range(8):
-                assert (await client.ask(request()))[0] == 200
+                assert (await client.send_request(build_request()))[0] == 200
             assert peers[0].requests.qsize() == before
-            stand.agent.push(4, [peers[0].entry("s-1", "left")])
-            while (await stand.event(ServerList)).version != 4:
+            stand.discovery.push_update(4, [peers[0].list_entry("s-1", "left")])
+            while (await stand.next_event(ServerList)).version != 4:
                 pass
-            assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200  # though the list lacks it
-            stand.agent.push(5, [peers[0].entry("s-1")])
-            while (await stand.event(ServerList)).version != 5:
+            assert (await stand.call_admin("POST", "uncordon", b"s-1"))[0] == 200  # though the list lacks it
+            stand.discovery.push_update(5, [peers[0].list_entry("s-1")])
+            while (await stand.next_event(ServerList)).version != 5:
                 pass
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 while peers[0].requests.qsize() == before:
-                    assert (await client.ask(request()))[0] == 200
+                    assert (await client.send_request(build_request()))[0] == 200
             assert (await stats(stand))["ejected"] == 0
             assert stand.node.policy.uncordoned_at.keys() == {stable_id(b"s-1")}
 
@@ -139,8 +143,8 @@
 
 def test_a_dial_that_is_on_when_its_server_is_taken_out_ends_and_the_request_goes_elsewhere() -> None:
     async def test() -> None:
-        peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, attempts=3, admin=ADMIN_ADDRESS) as stand:
+        peers = [await FakeServer().start(), await FakeServer().start()]
+        async with run_node(*peers, max_attempts=3, admin=ADMIN_ADDRESS) as stand:
             send, out = stand.node.send, []
 
             def taken_out_at_once(action: Send) -> None:
@@ -150,8 +154,8 @@
                     asyncio.get_running_loop().call_soon(stand.node.cordon, out[0].encode())
 
             stand.node.perform[Send] = taken_out_at_once
-            assert (await (await stand.client()).ask(request("pay")))[0] == 200
-            assert (await stand.outcome()).result == Result.UNREACHABLE
+            assert (await (await stand.connect_client()).send_request(build_request("pay")))[0] == 200
+            assert (await stand.next_outcome()).result == Result.UNREACHABLE
             assert peers[0 if out == ["s-1"] else 1].requests.empty()
 
     run(test())
@@ -159,22 +163,22 @@
 
 def test_a_call_to_either_process_holds_in_both(tmp_path: Path) -> None:
     async def test() -> None:
-        peers = [await Peer().start(), await Peer().start()]
-        async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as old:
-            assert (await old.call("POST", "cordon", b"s-1"))[0] == 200
-            async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as new:
+        peers = [await FakeServer().start(), await FakeServer().start()]
+        async with run_node(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as old:
+            assert (await old.call_admin("POST", "cordon", b"s-1"))[0] == 200
+            async with run_node(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as new:
                 ids = {stable_id(b"s-1"), stable_id(b"s-2")}
                 assert new.node.policy.cordoned == {stable_id(b"s-1")}  # from the start
-                assert (await new.call("POST", "cordon", b"s-2"))[0] == 200
+                assert (await new.call_admin("POST", "cordon", b"s-2"))[0] == 200
                 await wait_until(lambda: old.node.policy.cordoned == ids)
-                assert (await old.call("POST", "uncordon", b"s-1"))[0] == 200
+                assert (await old.call_admin("POST", "uncordon", b"s-1"))[0] == 200
                 await wait_until(lambda: new.node.policy.cordoned == {stable_id(b"s-2")})
                 at = old.node.policy.uncordoned_at[stable_id(b"s-1")]
                 assert new.node.policy.uncordoned_at[stable_id(b"s-1")] == pytest.approx(at, abs=50.0)
-                client = await new.client()
-                assert (await client.ask(request()))[0] == 200
+                client = await new.connect_client()
+                assert (await client.send_request(build_request()))[0] == 200
                 assert (peers[0].requests.qsize(), peers[1].requests.qsize()) == (1, 0)
-            async with running(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as third:
+            async with run_node(*peers, admin=ADMIN_ADDRESS, shared_folder=tmp_path) as third:
                 assert third.node.policy.cordoned == {stable_id(b"s-2")}
                 assert third.node.policy.uncordoned_at.keys() == {stable_id(b"s-1")}  # cold for it too
 
@@ -206,26 +210,26 @@
 def test_a_call_that_cannot_be_kept_is_a_no_and_the_server_is_out_all_the_same(tmp_path: Path) -> None:
     """The rule runs from 1 s after the call, and once the file can be written a successor knows it too."""
 
-    async def test(stand: Stand) -> None:
+    async def test(stand: NodeFixture) -> None:
         for path in tmp_path.iterdir():
             path.unlink()
         tmp_path.rmdir()
-        assert (await stand.call("POST", "cordon", b"s-1"))[0] == 503
+        assert (await stand.call_admin("POST", "cordon", b"s-1"))[0] == 503
         assert stand.node.policy.cordoned == {stable_id(b"s-1")}
-        assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 503
+        assert (await stand.call_admin("POST", "uncordon", b"s-1"))[0] == 503
         assert stand.node.policy.cordoned == {stable_id(b"s-1")}
         tmp_path.mkdir()
         successor = SharedState(tmp_path, "n0", lambda before, now: None)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while not successor.shared.cordoned:
                 await asyncio.sleep(0.02)
                 successor.look()
         successor.close()
-        assert (await stand.call("POST", "uncordon", b"s-1"))[0] == 200
+        assert (await stand.call_admin("POST", "uncordon", b"s-1"))[0] == 200
         assert not stand.node.policy.cordoned
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
             await test(stand)
 
     run(whole())
@@ -275,7 +279,7 @@
     monkeypatch.setattr(shared_state, "read_limited", fail)
 
     async def whole() -> None:
-        async with running(await Peer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS, shared_folder=tmp_path) as stand:
             assert not left[0]
             assert stand.node.policy.cordoned == {stable_id(b"s-1")}
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,7 +31,17 @@
     State,
     Withdrawn,
 )
-from tests.net import OK, WAIT, WATCH, Peer, Stand, answer, request, running, stay_silent
+from tests.net import (
+    OK_RESPONSE,
+    TIMEOUT_S,
+    WATCH_TARGET,
+    FakeServer,
+    NodeFixture,
+    build_request,
+    never_respond,
+    respond_with,
+    run_node,
+)
 from tests.test_admin import wait_until
 from tests.test_node import run
 
@@ -41,7 +51,7 @@
     sock.close()
 
 
-class RawPeer(Peer):
+class RawPeer(FakeServer):
     """A server that responds to the first request of each connection and leaves the rest to the test."""
 
     def __init__(self) -> None:
@@ -63,7 +73,7 @@
     async def answer(self, sock: socket.socket) -> None:
         with suppress(OSError):
             if await asyncio.get_running_loop().sock_recv(sock, 65536):
-                sock.send(OK)
+                sock.send(OK_RESPONSE)
 
     def close(self) -> None:
         for task in self.tasks:
@@ -75,7 +85,7 @@
 class RawClient:
     """A client socket that only does what the test calls for."""
 
-    def __init__(self, stand: Stand, buffer: int = 0) -> None:
+    def __init__(self, stand: NodeFixture, buffer: int = 0) -> None:
         assert stand.node.server is not None
         self.socket = socket.socket()
         if buffer:
@@ -88,7 +98,7 @@
 
     async def receive(self) -> bytes:
         """Return the next bytes."""
-        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), WAIT)
+        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.socket, 65536), TIMEOUT_S)
 
     async def receive_until_close(self) -> bytes:
         """Return all bytes up to the end of the stream; fail on a reset."""
@@ -110,9 +120,9 @@
     def __init__(self) -> None:
         self.is_open = asyncio.Event()
 
-    async def respond_when_open(self, peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_open(self, peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await self.is_open.wait()
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
 
 class LateAcceptServer:
@@ -151,8 +161,8 @@
         self.queue_filler.close()
 
 
-async def wait_for_list(stand: Stand, version: int) -> None:
-    while (await stand.event(ServerList)).version != version:
+async def wait_for_list(stand: NodeFixture, version: int) -> None:
+    while (await stand.next_event(ServerList)).version != version:
         pass
 
 
@@ -169,11 +179,11 @@
     gate = ResponseGate()
 
     async def test() -> None:
-        peer = await Peer(gate.respond_when_open).start()
-        async with running(peer) as stand:
-            client, second = RawClient(stand), request()
-            client.send(request(Connection="close") + second[:30])
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+        peer = await FakeServer(gate.respond_when_open).start()
+        async with run_node(peer) as stand:
+            client, second = RawClient(stand), build_request()
+            client.send(build_request(Connection="close") + second[:30])
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             gate.is_open.set()
             first = await client.receive()
             assert first.startswith(b"HTTP/1.1 200") and b"Connection: close" in first
@@ -192,11 +202,11 @@
     gate = ResponseGate()
 
     async def test() -> None:
-        peer = await Peer(gate.respond_when_open).start()
-        async with running(peer) as stand:
-            client, second = RawClient(stand), request()
-            client.send(request() + second[:30])
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+        peer = await FakeServer(gate.respond_when_open).start()
+        async with run_node(peer) as stand:
+            client, second = RawClient(stand), build_request()
+            client.send(build_request() + second[:30])
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             stand.node.stopping = True
             gate.is_open.set()
             assert b"Connection: close" not in await client.receive()
@@ -208,11 +218,13 @@
     run(test())
 
 
-@pytest.mark.parametrize("data", [request()[:30], request("book", body=b"ride")[:-2]], ids=["head", "body"])
+@pytest.mark.parametrize(
+    "data", [build_request()[:30], build_request("book", body=b"ride")[:-2]], ids=["head", "body"]
+)
 def test_unfinished_request_gets_503_when_node_ends(data: bytes) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
             client = RawClient(stand)
             client.send(data)
             await wait_until(lambda: bool(stand.node.listener.receiving_first_request))
@@ -227,13 +239,13 @@
 
 def test_close_with_unread_request_does_not_reset_or_forward() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
             client = RawClient(stand)
-            client.send(request())
+            client.send(build_request())
             assert (await client.receive()).startswith(b"HTTP/1.1 200")
             await wait_until(lambda: bool(stand.node.listener.idle))
-            client.send(request())
+            client.send(build_request())
             stand.node.stopping = True
             stand.node.listener.close_idle()
             assert await client.receive_until_close() == b""
@@ -250,20 +262,20 @@
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.0)
     size = 1 << 20
 
-    async def stream_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size >> 16):
             writer.write(bytes(65536))
             await writer.drain()
 
     async def test() -> None:
-        async with running(await Peer(stream_response).start()) as stand:
+        async with run_node(await FakeServer(stream_response).start()) as stand:
             client = RawClient(stand, buffer=4096)
             await wait_until(lambda: bool(stand.node.listener.connections))
             (connection,) = stand.node.listener.connections
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the kernel buffers very little
-            client.send(request(Connection="close"))
+            client.send(build_request(Connection="close"))
             received_bytes = 0
             while stand.node.pool.attempts or not received_bytes:
                 received_bytes += len(await client.receive())
@@ -281,15 +293,15 @@
 @DISCONNECTS
 def test_client_disconnect_is_detected_while_reading_is_paused_for_queue(disconnect: Disconnect) -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer) as stand:
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer) as stand:
             client = RawClient(stand)
-            client.send(request() * (2 * client_connections.MAX_PIPELINED_REQUESTS))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            client.send(build_request() * (2 * client_connections.MAX_PIPELINED_REQUESTS))
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             (connection,) = stand.node.listener.connections
             assert connection.paused_for_queue
             disconnect(client)
-            await stand.event(Withdrawn)
+            await stand.next_event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections)
             assert peer.requests.empty() and not stand.node.held
 
@@ -299,7 +311,7 @@
 @DISCONNECTS
 def test_client_disconnect_is_detected_while_reading_is_paused_for_upload(disconnect: Disconnect) -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await FakeServer().start()
         head_read = asyncio.Event()
 
         async def read_head_only(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -310,19 +322,19 @@
         peer.server.close()
         peer.server = await asyncio.start_server(read_head_only, "127.0.0.1", 0)
         peer.port = peer.server.sockets[0].getsockname()[1]
-        async with running(peer) as stand:
+        async with run_node(peer) as stand:
             client, body = RawClient(stand), bytes(16 << 20)
-            head = request("pay").replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
+            head = build_request("pay").replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
             client.send(head)
-            await asyncio.wait_for(head_read.wait(), WAIT)
+            await asyncio.wait_for(head_read.wait(), TIMEOUT_S)
             (connection,) = stand.node.listener.connections
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 # Send no more then: unsent bytes in the client's kernel would hide its close.
                 while not connection.paused_for_upload:
                     client.send(body[:65536])
                     await asyncio.sleep(0.001)
             disconnect(client)
-            await stand.event(Withdrawn)
+            await stand.next_event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
             assert not stand.node.held
 
@@ -336,19 +348,19 @@
 ) -> None:
     async def test() -> None:
         server = LateAcceptServer()
-        peer = Peer()
+        peer = FakeServer()
         peer.port = server.port
         settings = Settings(
             classes=(RequestClass(5000.0, 9000.0, 1.0, Effect.SAFE),) * 3,
             may_cancel=may_cancel,
             max_attempts=1,
         )
-        async with running(peer, settings=settings) as stand:
+        async with run_node(peer, settings=settings) as stand:
             client = RawClient(stand)
-            client.send(request())
+            client.send(build_request())
             await wait_until(lambda: stand.node.pool.dials == 1)
             disconnect(client)
-            await stand.event(Withdrawn)
+            await stand.next_event(Withdrawn)
             server.start_accepting()
             await wait_until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
             with suppress(TimeoutError):  # a dial that was not cancelled succeeds within a second
@@ -360,12 +372,12 @@
 
 def test_end_of_stream_behind_partial_request_withdraws_earlier_request() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer) as stand:
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer) as stand:
             client = RawClient(stand)
-            client.send(request() + request()[:40])
+            client.send(build_request() + build_request()[:40])
             client.close()
-            await stand.event(Withdrawn)
+            await stand.next_event(Withdrawn)
             await wait_until(lambda: not stand.node.listener.connections)
             assert not stand.node.held
 
@@ -377,11 +389,11 @@
 
 def test_keyed_retry_is_not_sent_if_its_window_expires_during_dial() -> None:
     async def test() -> None:
-        server, first = LateAcceptServer(), await Peer(answer(b"no HTTP at all\r\n\r\n")).start()
-        second = Peer()
+        server, first = LateAcceptServer(), await FakeServer(respond_with(b"no HTTP at all\r\n\r\n")).start()
+        second = FakeServer()
         second.port = server.port
         keyed = RequestClass(5000.0, 9000.0, 1.0, Effect.KEYED, Group.ALL, window=600.0)
-        async with running(
+        async with run_node(
             first, second, settings=Settings(classes=(keyed,) * 3, may_cancel=True, max_attempts=3)
         ) as stand:
             policy = stand.node.policy
@@ -397,8 +409,8 @@
             policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
                 stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
-            client = await stand.client()
-            response_task = asyncio.create_task(client.ask(request("book")))
+            client = await stand.connect_client()
+            response_task = asyncio.create_task(client.send_request(build_request("book")))
             await wait_until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
             server.start_accepting()
             status, _, _ = await response_task
@@ -415,21 +427,25 @@
     received_at_start: list[bytes] = []
 
     async def test() -> None:
-        loop, first, second = asyncio.get_running_loop(), Peer(), await Peer().start()
+        loop, first, second = asyncio.get_running_loop(), FakeServer(), await FakeServer().start()
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         first.port = listener.getsockname()[1]
-        async with running(first, second, attempts=2) as stand:
+        async with run_node(first, second, max_attempts=2) as stand:
             policy = stand.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             target = {"name": b"s-2"}
             policy.choose_endpoint = lambda pending: policy.endpoints[stable_id(target["name"])]  # type: ignore[method-assign]
-            client = await stand.client()
-            assert (await client.ask(request()))[0] == 200  # leaves an idle connection to the second server
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[
+                0
+            ] == 200  # leaves an idle connection to the second server
             target["name"] = b"s-1"
-            response_task = asyncio.create_task(client.ask(request()))
-            first_connection, _ = await asyncio.wait_for(loop.sock_accept(listener), WAIT)
-            assert (await asyncio.wait_for(loop.sock_recv(first_connection, 65536), WAIT)).startswith(b"GET ")
+            response_task = asyncio.create_task(client.send_request(build_request()))
+            first_connection, _ = await asyncio.wait_for(loop.sock_accept(listener), TIMEOUT_S)
+            assert (await asyncio.wait_for(loop.sock_recv(first_connection, 65536), TIMEOUT_S)).startswith(
+                b"GET "
+            )
             target["name"] = b"s-2"
             start = ServerConnection.start
 
@@ -457,27 +473,27 @@
     name = b"the first's"
     late = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name)
 
-    async def respond_twice(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
-        writer.write(OK)
+    async def respond_twice(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+        writer.write(OK_RESPONSE)
         if peer.requests.qsize() == 1:
             asyncio.get_running_loop().call_later(0.004, writer.write, late)
 
     async def test() -> None:
-        peer = await Peer(respond_twice).start()
-        async with running(peer) as stand:
-            client = await stand.client()
+        peer = await FakeServer(respond_twice).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
             for _ in range(20):  # without pauses: more than 4 ms in all
-                assert (await client.ask(request()))[2] == b"done"
+                assert (await client.send_request(build_request()))[2] == b"done"
 
     run(test())
 
 
 def test_request_withdrawn_during_reuse_delay_is_not_sent_and_keeps_connection() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client, loop = await stand.client(), asyncio.get_running_loop()
-            assert (await client.ask(request()))[0] == 200
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client, loop = await stand.connect_client(), asyncio.get_running_loop()
+            assert (await client.send_request(build_request()))[0] == 200
             send = stand.node.send
 
             def send_then_withdraw(action: Send) -> None:
@@ -485,8 +501,8 @@
                 loop.call_soon(stand.node.client_gone, action.id)
 
             stand.node.perform[Send] = send_then_withdraw
-            client.writer.write(request())
-            await stand.event(Withdrawn)
+            client.writer.write(build_request())
+            await stand.next_event(Withdrawn)
             await wait_until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
             assert peer.requests.qsize() == 1 and not stand.node.pool.attempts
 
@@ -496,19 +512,19 @@
 @pytest.mark.parametrize("state", ["leaving", "left"])
 def test_request_is_retried_at_once_if_server_drains_during_dial(state: str) -> None:
     async def test() -> None:
-        server, peer = LateAcceptServer(), Peer()
+        server, peer = LateAcceptServer(), FakeServer()
         peer.port = server.port
-        other = await Peer().start()
-        async with running(peer, other, attempts=2) as stand:
+        other = await FakeServer().start()
+        async with run_node(peer, other, max_attempts=2) as stand:
             policy = stand.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
                 stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
-            client = await stand.client()
-            response_task = asyncio.create_task(client.ask(request("pay")))
+            client = await stand.connect_client()
+            response_task = asyncio.create_task(client.send_request(build_request("pay")))
             await wait_until(lambda: stand.node.pool.dials == 1)
-            stand.agent.push(2, [peer.entry("s-1", state)])
+            stand.discovery.push_update(2, [peer.list_entry("s-1", state)])
             assert (await response_task)[0] == 200  # from the other server, while the first dial still waits
             assert stand.node.pool.dials == 0
             server.start_accepting()
@@ -521,15 +537,15 @@
 
 def test_retry_may_use_endpoint_added_by_same_list() -> None:
     async def test() -> None:
-        server, peer = LateAcceptServer(), Peer()
+        server, peer = LateAcceptServer(), FakeServer()
         peer.port = server.port
-        added = await Peer().start()
-        async with running(peer, attempts=2) as stand:
+        added = await FakeServer().start()
+        async with run_node(peer, max_attempts=2) as stand:
             stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
-            client = await stand.client()
-            response_task = asyncio.create_task(client.ask(request("pay")))
+            client = await stand.connect_client()
+            response_task = asyncio.create_task(client.send_request(build_request("pay")))
             await wait_until(lambda: stand.node.pool.dials == 1)
-            stand.agent.push(2, [peer.entry("s-1", "leaving"), added.entry("s-2")])
+            stand.discovery.push_update(2, [peer.list_entry("s-1", "leaving"), added.list_entry("s-2")])
             assert (await response_task)[0] == 200
             assert not stand.node.pool.attempts
         server.start_accepting()
@@ -540,22 +556,22 @@
 
 def test_server_that_drains_during_reuse_delay_gets_no_request() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(request()))[0] == 200
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[0] == 200
             send = stand.node.send
 
             def send_then_drain(action: Send) -> None:
                 send(action)
                 stand.node.take_list(
-                    {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
+                    {"generation": 2, "reset": False, "instances": [peer.list_entry("s-1", "leaving")]}, False
                 )
 
             stand.node.perform[Send] = send_then_drain
-            assert (await client.ask(request()))[0] == 503
-            await asyncio.wait_for(peer.ended.get(), WAIT)
-            assert peer.requests.qsize() == 1 and peer.connections == 1
+            assert (await client.send_request(build_request()))[0] == 503
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
+            assert peer.requests.qsize() == 1 and peer.connection_count == 1
 
     run(test())
 
@@ -576,9 +592,9 @@
 
     async def test() -> None:
         peer = RawPeer()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(request("pay")))[0] == 200
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request("pay")))[0] == 200
             send = stand.node.send
 
             def send_after_event(action: Send) -> None:
@@ -586,7 +602,9 @@
                 send(action)
 
             stand.node.perform[Send] = send_after_event
-            assert (await client.ask(request("pay")))[0] == 200  # an unsafe request: it could not be retried
+            assert (await client.send_request(build_request("pay")))[
+                0
+            ] == 200  # an unsafe request: it could not be retried
             assert len(peer.sockets) == 2
         peer.close()
 
@@ -601,7 +619,7 @@
 ) -> None:
     gate = ResponseGate()
 
-    async def respond_in_two_parts(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_in_two_parts(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (BUFFERED_BODY_BYTES + 2)
             + bytes(BUFFERED_BODY_BYTES + 1)
@@ -610,18 +628,18 @@
         writer.write(b"x")
 
     async def test() -> None:
-        peer = await Peer(respond_in_two_parts).start()
-        async with running(peer) as stand:
+        peer = await FakeServer(respond_in_two_parts).start()
+        async with run_node(peer) as stand:
             client = RawClient(stand)
-            client.send(request())
-            await stand.event(Began)
-            stand.agent.push(2, [peer.entry("s-1", "left")])
+            client.send(build_request())
+            await stand.next_event(Began)
+            stand.discovery.push_update(2, [peer.list_entry("s-1", "left")])
             await wait_for_list(stand, 2)
             gate.is_open.set()
             received_bytes = 0
             while received_bytes < BUFFERED_BODY_BYTES:
                 received_bytes += len(await client.receive())
-            assert (await stand.outcome()).result == Result.OK
+            assert (await stand.next_outcome()).result == Result.OK
             assert not [record for record in caplog.records if record.levelname == "ERROR"]
 
     run(test())
@@ -643,8 +661,8 @@
 
     async def test() -> None:
         peer = RespondingPeer()
-        async with running(peer) as stand:
-            status, _, body = await (await stand.client()).ask(request("pay"))
+        async with run_node(peer) as stand:
+            status, _, body = await (await stand.connect_client()).send_request(build_request("pay"))
             assert (status, body) == ((200, b"done") if end_connection is socket.socket.close else (502, b""))
         peer.close()
 
@@ -657,23 +675,23 @@
 @pytest.mark.parametrize("part_size", [0, 1, 40], ids=["whole", "bytes", "pieces"])
 def test_lists_may_be_indented_and_arrive_in_parts(part_size: int) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            agent, calls = stand.agent, stand.agent.calls
-            assert await calls.get() == WATCH
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            agent, calls = stand.discovery, stand.discovery.request_targets
+            assert await calls.get() == WATCH_TARGET
             agent.indent = 2
-            agent.push(2, [peer.entry("s-1", "leaving"), peer.entry("s-2")])
-            agent.push(3, [peer.entry("s-3")])
-            data = b"".join(line for _ in range(2) if (line := agent.lines.get_nowait()) is not None)
+            agent.push_update(2, [peer.list_entry("s-1", "leaving"), peer.list_entry("s-2")])
+            agent.push_update(3, [peer.list_entry("s-3")])
+            data = b"".join(line for _ in range(2) if (line := agent.watch_lines.get_nowait()) is not None)
             for start in range(0, len(data), part_size or len(data)):
-                agent.lines.put_nowait(data[start : start + part_size] if part_size else data)
+                agent.watch_lines.put_nowait(data[start : start + part_size] if part_size else data)
             await wait_for_list(stand, 3)
             assert stand.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
-            agent.lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
+            agent.watch_lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
             await wait_for_list(stand, 4)
             assert calls.empty()  # no list was requested again
-            agent.lines.put_nowait(b"{\n\n")  # invalid inside an object
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
+            agent.watch_lines.put_nowait(b"{\n\n")  # invalid inside an object
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
             await wait_for_list(stand, 1)
 
     run(test())
@@ -681,10 +699,12 @@
 
 def test_list_without_line_end_is_used() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            line = json.dumps({"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]})
-            stand.agent.lines.put_nowait(line.encode())
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            line = json.dumps(
+                {"generation": 2, "reset": False, "instances": [peer.list_entry("s-1", "leaving")]}
+            )
+            stand.discovery.watch_lines.put_nowait(line.encode())
             await wait_for_list(stand, 2)
 
     run(test())
@@ -692,16 +712,16 @@
 
 def test_truncated_list_line_is_requested_again() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            calls = stand.agent.calls
-            assert await calls.get() == WATCH
-            stand.agent.push(2, [peer.entry("s-1", "leaving")])
-            line = stand.agent.lines.get_nowait()
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            calls = stand.discovery.request_targets
+            assert await calls.get() == WATCH_TARGET
+            stand.discovery.push_update(2, [peer.list_entry("s-1", "leaving")])
+            line = stand.discovery.watch_lines.get_nowait()
             assert line is not None
-            stand.agent.lines.put_nowait(line[:40])
-            stand.agent.lines.put_nowait(None)
-            assert await asyncio.wait_for(calls.get(), WAIT) == WATCH
+            stand.discovery.watch_lines.put_nowait(line[:40])
+            stand.discovery.watch_lines.put_nowait(None)
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == WATCH_TARGET
             assert stand.node.pool.servers[stable_id(b"s-1")].state is State.READY
 
     run(test())
@@ -711,10 +731,12 @@
     monkeypatch.setattr(discovery, "PART_TIME", 0.05)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            assert await stand.agent.calls.get() == WATCH
-            stand.agent.lines.put_nowait(b'{"generation": 2, "ins')
-            assert await asyncio.wait_for(stand.agent.calls.get(), WAIT) == "/catalog/members"
+        async with run_node(await FakeServer().start()) as stand:
+            assert await stand.discovery.request_targets.get() == WATCH_TARGET
+            stand.discovery.watch_lines.put_nowait(b'{"generation": 2, "ins')
+            assert (
+                await asyncio.wait_for(stand.discovery.request_targets.get(), TIMEOUT_S) == "/catalog/members"
+            )
 
     run(test())
 
@@ -746,10 +768,10 @@
             client.listener.set_limit(limit)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            clients = [await stand.client() for _ in range(6)]
+        async with run_node(await FakeServer().start()) as stand:
+            clients = [await stand.connect_client() for _ in range(6)]
             for client in clients:
-                assert (await client.ask(request()))[0] == 200
+                assert (await client.send_request(build_request()))[0] == 200
             listener = stand.node.listener
             await wait_until(lambda: len(listener.idle) == 6)
             monkeypatch.setattr(client_connections.Listener, "evict_connection", count_evictions)
@@ -758,6 +780,8 @@
             await wait_until(lambda: evictions)
             assert evictions < 50
             assert len(listener.connections) + len(listener.lingering) <= limit
-            assert (await clients[-1].ask(request()))[0] == 200  # the ones idle for longer were evicted
+            assert (await clients[-1].send_request(build_request()))[
+                0
+            ] == 200  # the ones idle for longer were evicted
 
     run(test())
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -25,7 +25,7 @@
 import pytest
 import uvloop
 
-from tests.net import WAIT, Client, Peer, request
+from tests.net import TIMEOUT_S, FakeServer, RawClient, build_request
 from tests.test_process import raw_config
 
 COMMAND = [sys.executable, "-B", "-m", "flaxstep.proxy"]
@@ -150,7 +150,7 @@
     path: Path
     pushed: bool = False
     catalog: Catalog = field(init=False)
-    peers: list[Peer] = field(default_factory=list)
+    peers: list[FakeServer] = field(default_factory=list)
     node: asyncio.subprocess.Process = field(init=False)
     arrivals: list[list[float]] = field(default_factory=lambda: [[], []])  # by endpoint: monotonic s
     answers: list[tuple[float, int]] = field(default_factory=list)
@@ -163,14 +163,14 @@
 
     @property
     def catalogue_entries(self) -> list[Entry]:
-        return [peer.entry(f"s-{i}") for i, peer in enumerate(self.peers, 1)]
+        return [peer.list_entry(f"s-{i}") for i, peer in enumerate(self.peers, 1)]
 
     def leaving(self, **changes: Any) -> Entry:
-        return self.peers[0].entry("s-1", LEAVING) | changes
+        return self.peers[0].list_entry("s-1", LEAVING) | changes
 
     async def start(self, answer: Answer, known: bool = True) -> None:
         for seen in self.arrivals:
-            self.peers.append(await Peer(self.notes(seen)).start())
+            self.peers.append(await FakeServer(self.notes(seen)).start())
         self.catalog = await Catalog(answer, self.catalogue_entries).start()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
@@ -194,8 +194,10 @@
             raw["known"] = {"generation": 1, "reset": True, "instances": self.catalogue_entries}
         self.path.write_text(json.dumps(raw))
 
-    def notes(self, seen: list[float]) -> Callable[[Peer, bytes, asyncio.StreamWriter], Awaitable[None]]:
-        async def script(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    def notes(
+        self, seen: list[float]
+    ) -> Callable[[FakeServer, bytes, asyncio.StreamWriter], Awaitable[None]]:
+        async def script(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
             seen.append(time.monotonic())
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 
@@ -210,18 +212,18 @@
         """The front lets clients come once the node says that it is ready; then one asks all the time."""
         while not self.ready:
             with suppress(OSError, asyncio.IncompleteReadError):
-                client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
-                if (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
+                client = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
+                if (await client.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
                     self.ready = time.monotonic()
                 client.writer.close()
             await asyncio.sleep(BETWEEN)
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
+        client = RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
         while True:
-            status, _, _ = await client.ask(request())
+            status, _, _ = await client.send_request(build_request())
             self.answers.append((time.monotonic(), status))
             await asyncio.sleep(BETWEEN)
 
-    async def until(self, condition: Callable[[], Any], within: float = WAIT) -> None:
+    async def until(self, condition: Callable[[], Any], within: float = TIMEOUT_S) -> None:
         async with asyncio.timeout(within):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -262,7 +264,7 @@
     await play.start(at_once)
     await play.serving()
     watch = next(call for call in play.catalog.calls if call.watch)
-    watch.send(play.catalog.change(play.peers[1].entry("s-9") | {"weight": None}, play.leaving()))
+    watch.send(play.catalog.change(play.peers[1].list_entry("s-9") | {"weight": None}, play.leaving()))
     play.told = time.monotonic()
     await asyncio.sleep(4.0)
 
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -9,7 +9,7 @@
 
 from flaxstep.proxy.config import read_log_level
 from flaxstep.proxy.event_log import format_value, log_event
-from tests.net import Peer, answer, request, running
+from tests.net import FakeServer, build_request, respond_with, run_node
 from tests.test_node import run
 
 
@@ -54,9 +54,9 @@
     caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
 
     async def test() -> None:
-        async with running(await Peer(answer(FULL)).start()) as stand:
-            client = await stand.client()
-            assert (await client.ask(request(Request_Id="9b1f03aa5c7e2d41")))[0] == 503
+        async with run_node(await FakeServer(respond_with(FULL)).start()) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request(Request_Id="9b1f03aa5c7e2d41")))[0] == 503
 
     run(test())
     lines = [line for line in caplog.messages if "9b1f03aa5c7e2d41" in line or "upstream_closed" in line]
@@ -76,10 +76,10 @@
     caplog.set_level(logging.INFO, "flaxstep.proxy")
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            assert await stand.agent.calls.get()
-            stand.agent.lines.put_nowait(None)
-            assert await stand.agent.calls.get()  # the watch has ended and is reopened
+        async with run_node(await FakeServer().start()) as stand:
+            assert await stand.discovery.request_targets.get()
+            stand.discovery.watch_lines.put_nowait(None)
+            assert await stand.discovery.request_targets.get()  # the watch has ended and is reopened
 
     run(test())
     assert any(
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,14 +9,25 @@
 from flaxstep.proxy.metrics import Metrics, ServerMetrics
 from flaxstep.routing.interface import ListKind, Result, ServerList
 from flaxstep.routing.policy import Policy
-from tests.net import CLASSES, OK, Peer, Stand, answer, answer_ok, hang_up, request, running, stay_silent
+from tests.net import (
+    EFFECT_BY_CLASS,
+    OK_RESPONSE,
+    FakeServer,
+    NodeFixture,
+    abort_connection,
+    build_request,
+    never_respond,
+    respond_ok,
+    respond_with,
+    run_node,
+)
 from tests.support import make_server_entry, make_settings
 from tests.test_admin import ADMIN_ADDRESS, wait_until
 from tests.test_node import run
 
 
-async def stats(stand: Stand) -> dict[str, int]:
-    status, text = await stand.call("GET", "stats")
+async def stats(stand: NodeFixture) -> dict[str, int]:
+    status, text = await stand.call_admin("GET", "stats")
     assert status == 200
     found = {}
     for line in text.splitlines():
@@ -30,8 +41,12 @@
 
 def test_every_figure_of_the_page_is_there_from_the_start() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), await Peer().start(), admin=ADMIN_ADDRESS) as stand:
-            zero = {f"results.{c}.{o}": 0 for c in CLASSES for o in ("succeeded", "declined", "aborted")}
+        async with run_node(
+            await FakeServer().start(), await FakeServer().start(), admin=ADMIN_ADDRESS
+        ) as stand:
+            zero = {
+                f"results.{c}.{o}": 0 for c in EFFECT_BY_CLASS for o in ("succeeded", "declined", "aborted")
+            }
             gauges = {"outstanding": 0, "discovered": 2, "ejected": 0}
             assert await stats(stand) == zero | gauges | {"forwards": 0}
 
@@ -52,21 +67,23 @@
 
 
 def test_outcomes_count_once_for_their_class_and_attempts_each() -> None:
-    full = answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    full = respond_with(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
     async def test() -> None:
-        peers = [await Peer().start(), await Peer(full).start()]
-        async with running(*peers, attempts=3, admin=ADMIN_ADDRESS) as stand:
-            client = await stand.client()
+        peers = [await FakeServer().start(), await FakeServer(full).start()]
+        async with run_node(*peers, max_attempts=3, admin=ADMIN_ADDRESS) as stand:
+            client = await stand.connect_client()
             for _ in range(8):
-                assert (await client.ask(request("book")))[0] == 200
+                assert (await client.send_request(build_request("book")))[0] == 200
             for peer in peers:
-                peer.script = hang_up
-            assert (await client.ask(request("pay")))[0] == 502
+                peer.script = abort_connection
+            assert (await client.send_request(build_request("pay")))[0] == 502
             for peer in peers:
                 peer.script = full
-            assert (await client.ask(request("find")))[0] == 503
-            assert (await client.ask(request(Request_ID="twice")))[0] == 400  # improper: counts nowhere
+            assert (await client.send_request(build_request("find")))[0] == 503
+            assert (await client.send_request(build_request(Request_ID="twice")))[
+                0
+            ] == 400  # improper: counts nowhere
             found = await stats(stand)
             assert found["results.book.succeeded"] == 8
             assert found["results.pay.aborted"] == 1
@@ -80,16 +97,16 @@
 def test_what_is_held_or_waits_its_turn_is_outstanding_until_it_ends() -> None:
     release = asyncio.Event()
 
-    async def held_back(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def held_back(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await Peer(held_back).start()
-        async with running(peer, admin=ADMIN_ADDRESS) as stand:
-            client, leaver = await stand.client(), await stand.client()
-            client.writer.write(request() * 3)
-            leaver.writer.write(request())
+        peer = await FakeServer(held_back).start()
+        async with run_node(peer, admin=ADMIN_ADDRESS) as stand:
+            client, leaver = await stand.connect_client(), await stand.connect_client()
+            client.writer.write(build_request() * 3)
+            leaver.writer.write(build_request())
             await wait_until(lambda: len(stand.node.held) == 2)
             assert (await stats(stand))["outstanding"] == 4
             leaver.writer.close()
@@ -97,7 +114,7 @@
             assert (await stats(stand))["outstanding"] == 3
             release.set()
             for _ in range(3):
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
             found = await stats(stand)
             assert (found["outstanding"], found["results.find.succeeded"]) == (0, 3)
 
@@ -106,10 +123,12 @@
 
 def test_servers_are_discovered_while_listed() -> None:
     async def test() -> None:
-        peers = [await Peer().start() for _ in range(3)]
-        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
-            stand.agent.push(2, [peers[0].entry("s-1", "leaving"), peers[1].entry("s-2", "left")])
-            while (await stand.event(ServerList)).version != 2:
+        peers = [await FakeServer().start() for _ in range(3)]
+        async with run_node(*peers, admin=ADMIN_ADDRESS) as stand:
+            stand.discovery.push_update(
+                2, [peers[0].list_entry("s-1", "leaving"), peers[1].list_entry("s-2", "left")]
+            )
+            while (await stand.next_event(ServerList)).version != 2:
                 pass
             assert (await stats(stand))["discovered"] == 2
 
@@ -126,21 +145,25 @@
     assert not policy.find_avoided_servers(100.0)
 
 
-async def by_server(stand: Stand) -> dict[str, Any]:
-    status, text = await stand.call("GET", "servers")
+async def by_server(stand: NodeFixture) -> dict[str, Any]:
+    status, text = await stand.call_admin("GET", "servers")
     assert status == 200
     found: dict[str, Any] = json.loads(text)
     return found
 
 
 def test_each_server_has_its_answers_by_class_and_what_is_out() -> None:
-    full = answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    full = respond_with(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
     async def test() -> None:
-        peers = [await Peer().start(), await Peer(full).start(), await Peer(hang_up).start()]
-        async with running(*peers, admin=ADMIN_ADDRESS) as stand:
-            client = await stand.client()
-            codes = [(await client.ask(request("book")))[0] for _ in range(30)]
+        peers = [
+            await FakeServer().start(),
+            await FakeServer(full).start(),
+            await FakeServer(abort_connection).start(),
+        ]
+        async with run_node(*peers, admin=ADMIN_ADDRESS) as stand:
+            client = await stand.connect_client()
+            codes = [(await client.send_request(build_request("book")))[0] for _ in range(30)]
             found = await by_server(stand)
             assert list(found) == ["s-1", "s-2", "s-3"]
             got = {name: found[name]["classes"]["book"] for name in found}
@@ -150,7 +173,7 @@
             assert found["s-1"]["classes"]["pay"] == {"ok": 0, "failed": 0, "unstarted": 0, "took": []}
             assert all(line["out"] == 0 for line in found.values())
             for call, out in (("cordon", [False, True, False]), ("uncordon", [False] * 3)):
-                assert (await stand.call("POST", call, b"s-2"))[0] == 200
+                assert (await stand.call_admin("POST", call, b"s-2"))[0] == 200
                 assert [line["cordoned"] for line in (await by_server(stand)).values()] == out
 
     run(test())
@@ -158,25 +181,25 @@
 
 def test_what_is_out_is_told_and_a_restart_begins_anew() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer, admin=ADMIN_ADDRESS) as stand:
-            client = await stand.client()
-            client.writer.write(request())
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer, admin=ADMIN_ADDRESS) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request())
             await peer.requests.get()
             assert (await by_server(stand))["s-1"]["out"] == 1
-            peer.script = answer_ok
-            other = await stand.client()
-            while (await other.ask(request()))[0] != 200:
+            peer.script = respond_ok
+            other = await stand.connect_client()
+            while (await other.send_request(build_request()))[0] != 200:
                 pass
             before = (await by_server(stand))["s-1"]
             assert before["started"] == 0 and before["classes"]["find"]["ok"] == 1
             started = 1_700_000_000_000
-            stand.agent.push(2, [peer.entry(started=started)])
-            await stand.event(ServerList)
+            stand.discovery.push_update(2, [peer.list_entry(started_at_ms=started)])
+            await stand.next_event(ServerList)
             while (after := (await by_server(stand))["s-1"])["started"] == 0:
                 pass
             assert abs(after["started"] - started) <= 1 and after["classes"]["find"]["ok"] == 0
-            stand.agent.push(3, [peer.entry(state="left")])
+            stand.discovery.push_update(3, [peer.list_entry(lifecycle="left")])
             while await by_server(stand):
                 pass
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,18 +32,18 @@
     Withdrawn,
 )
 from tests.net import (
-    OK,
-    WAIT,
-    WATCH,
-    Peer,
-    Script,
-    answer,
-    answer_ok,
-    field,
-    hang_up,
-    request,
-    running,
-    stay_silent,
+    OK_RESPONSE,
+    TIMEOUT_S,
+    WATCH_TARGET,
+    FakeServer,
+    ResponseScript,
+    abort_connection,
+    build_request,
+    header_value,
+    never_respond,
+    respond_ok,
+    respond_with,
+    run_node,
 )
 
 SAFE = RequestClass(aim=5000.0, deadline=9000.0, worth=1.0, effect=Effect.SAFE)
@@ -55,20 +55,22 @@
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
-        typed_response = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        peer = await Peer(answer(typed_response)).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            data = request("book", body=b"\x00ride", Tenant="acme").replace(b"/cab7", b"/cab7?a=1&b=%20")
-            status, head, body = await client.ask(data)
-            assert (status, body, field(head, b"Content-Type")) == (200, b"done", b"x/y")
+        typed_response = OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
+        peer = await FakeServer(respond_with(typed_response)).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            data = build_request("book", body=b"\x00ride", Tenant="acme").replace(
+                b"/cab7", b"/cab7?a=1&b=%20"
+            )
+            status, head, body = await client.send_request(data)
+            assert (status, body, header_value(head, b"Content-Type")) == (200, b"done", b"x/y")
             forwarded = await peer.requests.get()
             assert forwarded.startswith(b"POST /book/cab7?a=1&b=%20 HTTP/1.1\r\n") and forwarded.endswith(
                 b"\r\n\r\n\x00ride"
             )
             for name in (b"Request-Id", b"Idempotency-Key", b"Tenant", b"Host"):
-                assert field(forwarded, name) == field(data, name)
-            left = field(forwarded, b"Request-Timeout")
+                assert header_value(forwarded, name) == header_value(data, name)
+            left = header_value(forwarded, b"Request-Timeout")
             assert left is not None and left.endswith(b"m") and 0 < int(left[:-1]) <= 5000
 
     run(test())
@@ -76,13 +78,15 @@
 
 def test_absolute_form_target_is_forwarded_as_path() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client = await stand.client()
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
             for target in (b"http://backend.local/find/cab7?a=1", b"HTTPS://h:80/find/cab7?a=1"):
-                assert (await client.ask(request().replace(b"/find/cab7", target)))[0] == 200
+                assert (await client.send_request(build_request().replace(b"/find/cab7", target)))[0] == 200
                 assert (await peer.requests.get()).startswith(b"GET /find/cab7?a=1 HTTP/1.1\r\n")
-            assert (await client.ask(request().replace(b"/find/cab7", b"ftp://h/find/cab7")))[0] == 400
+            assert (await client.send_request(build_request().replace(b"/find/cab7", b"ftp://h/find/cab7")))[
+                0
+            ] == 400
 
     run(test())
 
@@ -94,32 +98,40 @@
 @pytest.mark.parametrize(
     ("script", "result"),
     [
-        (answer_ok, Result.OK),
-        (answer(b"HTTP/1.1 100 Continue\r\n\r\n" + OK), Result.OK),
-        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 503 No\r\nNot-Started:\t1 \t\r\nContent-Length: 0 \r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 504 No\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
-        (answer(b"HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
-        (answer(b"no HTTP at all\r\n\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndone"), Result.ERROR),
-        (answer(OK.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n")), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\ndone"), Result.ERROR),
-        (answer(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n"), Result.ERROR),
-        (answer(b"HTTP/1.1 500 No\r\nContent-Length: 999999\r\n\r\n" + bytes(70000)), Result.ERROR),
-        (hang_up, Result.RESET),
+        (respond_ok, Result.OK),
+        (respond_with(b"HTTP/1.1 100 Continue\r\n\r\n" + OK_RESPONSE), Result.OK),
+        (respond_with(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
+        (respond_with(b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
+        (respond_with(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
+        (respond_with(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
+        (respond_with(b"HTTP/1.1 503 No\r\nNot-Started:\t1 \t\r\nContent-Length: 0 \r\n\r\n"), Result.FULL),
+        (respond_with(b"HTTP/1.1 504 No\r\nnot-started: 1\r\nContent-Length: 0\r\n\r\n"), Result.FULL),
+        (respond_with(b"HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), Result.ERROR),
+        (respond_with(b"no HTTP at all\r\n\r\n"), Result.ERROR),
+        (
+            respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 3\r\n\r\ndone"),
+            Result.ERROR,
+        ),
+        (
+            respond_with(OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n")),
+            Result.ERROR,
+        ),
+        (respond_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\ndone"), Result.ERROR),
+        (respond_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n"), Result.ERROR),
+        (respond_with(b"HTTP/1.1 500 No\r\nContent-Length: 999999\r\n\r\n" + bytes(70000)), Result.ERROR),
+        (abort_connection, Result.RESET),
     ],
 )
-def test_attempt_results_and_response_statuses(script: Script, result: Result) -> None:
+def test_attempt_results_and_response_statuses(script: ResponseScript, result: Result) -> None:
     async def test() -> None:
-        async with running(await Peer(script).start()) as stand:
-            client = await stand.client()
-            status, head, _ = await client.ask(request())
-            assert (await stand.outcome()).result == result
+        async with run_node(await FakeServer(script).start()) as stand:
+            client = await stand.connect_client()
+            status, head, _ = await client.send_request(build_request())
+            assert (await stand.next_outcome()).result == result
             assert status == (200 if result is Result.OK else 503)
-            assert (field(head, b"Retry-After") is None) == (status == 200)  # a refusal says when to retry
+            assert (header_value(head, b"Retry-After") is None) == (
+                status == 200
+            )  # a refusal says when to retry
             assert not stand.node.held and not stand.node.pool.attempts
 
     run(test())
@@ -127,42 +139,42 @@
 
 def test_refused_connection_makes_server_unreachable() -> None:
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await FakeServer().start()
         peer.server.close()
-        async with running(peer) as stand:
-            status, _, _ = await (await stand.client()).ask(request("pay"))
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+        async with run_node(peer) as stand:
+            status, _, _ = await (await stand.connect_client()).send_request(build_request("pay"))
+            assert (status, (await stand.next_outcome()).result) == (503, Result.UNREACHABLE)
 
     run(test())
 
 
 def test_invalid_address_makes_server_unreachable() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
             stand.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
-            status, _, _ = await (await stand.client()).ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
+            status, _, _ = await (await stand.connect_client()).send_request(build_request())
+            assert (status, (await stand.next_outcome()).result) == (503, Result.UNREACHABLE)
 
     run(test())
 
 
 def test_silent_server_times_out_and_connection_is_closed() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer, aim=1000.0) as stand:
-            status, _, _ = await (await stand.client()).ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.TIMEOUT)
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer, aim_ms=1000.0) as stand:
+            status, _, _ = await (await stand.connect_client()).send_request(build_request())
+            assert (status, (await stand.next_outcome()).result) == (503, Result.TIMEOUT)
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
 
     run(test())
 
 
 def test_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() -> None:
     async def test() -> None:
-        peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
-        async with running(*peers, attempts=4) as stand:
-            status, _, _ = await (await stand.client()).ask(request("pay"))
+        peers = [await FakeServer(abort_connection).start(), await FakeServer(abort_connection).start()]
+        async with run_node(*peers, max_attempts=4) as stand:
+            status, _, _ = await (await stand.connect_client()).send_request(build_request("pay"))
             assert status == 502
             assert sum(peer.requests.qsize() for peer in peers) == 1
 
@@ -171,21 +183,21 @@
 
 def test_server_that_drains_during_dial_gets_no_request() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            node, client = stand.node, await stand.client()
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            node, client = stand.node, await stand.connect_client()
             send = node.send
 
             def send_then_drain(action: Send) -> None:
                 send(action)
                 stand.node.take_list(
-                    {"generation": 2, "reset": False, "instances": [peer.entry("s-1", "leaving")]}, False
+                    {"generation": 2, "reset": False, "instances": [peer.list_entry("s-1", "leaving")]}, False
                 )
 
             node.perform[Send] = send_then_drain
-            status, _, _ = await client.ask(request())
-            assert (status, (await stand.outcome()).result) == (503, Result.UNREACHABLE)
-            async with asyncio.timeout(WAIT):
+            status, _, _ = await client.send_request(build_request())
+            assert (status, (await stand.next_outcome()).result) == (503, Result.UNREACHABLE)
+            async with asyncio.timeout(TIMEOUT_S):
                 while node.pool.dials:
                     await asyncio.sleep(0.01)
             assert peer.requests.empty() and not node.pool.connections and not node.pool.attempts
@@ -195,14 +207,14 @@
 
 def test_connections_from_before_server_restart_are_not_reused() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(request()))[0] == 200
-            stand.agent.push(2, [peer.entry("s-1", started=1_000)])
-            while (await stand.event(ServerList)).version != 2:
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[0] == 200
+            stand.discovery.push_update(2, [peer.list_entry("s-1", started_at_ms=1_000)])
+            while (await stand.next_event(ServerList)).version != 2:
                 pass
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
             assert not stand.node.pool.servers[stable_id(b"s-1")].idle
 
     run(test())
@@ -210,18 +222,20 @@
 
 def test_removed_servers_are_forgotten_and_can_be_listed_again() -> None:
     async def test() -> None:
-        peer, other = await Peer().start(), await Peer().start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(request()))[0] == 200
-            stand.agent.push(2, [other.entry("s-2"), peer.entry("s-1", "left"), peer.entry("s-9", "left")])
-            while (await stand.event(ServerList)).version != 2:
+        peer, other = await FakeServer().start(), await FakeServer().start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[0] == 200
+            stand.discovery.push_update(
+                2, [other.list_entry("s-2"), peer.list_entry("s-1", "left"), peer.list_entry("s-9", "left")]
+            )
+            while (await stand.next_event(ServerList)).version != 2:
                 pass
             assert set(stand.node.pool.servers) == {stable_id(b"s-2")}
-            stand.agent.push(3, [peer.entry("s-1"), other.entry("s-2", "left")])
-            while (await stand.event(ServerList)).version != 3:
+            stand.discovery.push_update(3, [peer.list_entry("s-1"), other.list_entry("s-2", "left")])
+            while (await stand.next_event(ServerList)).version != 3:
                 pass
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
             assert (peer.requests.qsize(), other.requests.qsize()) == (2, 0)
 
     run(test())
@@ -229,39 +243,39 @@
 
 def test_connection_with_extra_bytes_after_response_is_not_reused() -> None:
     async def test() -> None:
-        peer = await Peer(answer(OK + OK)).start()
-        async with running(peer) as stand:
-            client = await stand.client()
+        peer = await FakeServer(respond_with(OK_RESPONSE + OK_RESPONSE)).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
             for _ in range(3):
-                assert (await client.ask(request()))[2] == b"done"
-            assert peer.connections == 3
+                assert (await client.send_request(build_request()))[2] == b"done"
+            assert peer.connection_count == 3
 
     run(test())
 
 
 def test_server_connection_is_reused() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client = await stand.client()
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
             for _ in range(3):
-                assert (await client.ask(request()))[0] == 200
-            assert peer.connections == 1
+                assert (await client.send_request(build_request()))[0] == 200
+            assert peer.connection_count == 1
 
     run(test())
 
 
 def test_disconnected_client_leaves_no_state_behind() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request())
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             client.writer.close()
-            await stand.event(Withdrawn)
-            assert (await stand.outcome()).result == Result.CANCELLED
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+            await stand.next_event(Withdrawn)
+            assert (await stand.next_outcome()).result == Result.CANCELLED
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
             node = stand.node
             assert not node.held and not node.pool.attempts and not node.listener.connections
 
@@ -270,9 +284,9 @@
 
 def test_cancelled_dial_leaves_no_connection_behind() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            pool, client = stand.node.pool, await stand.client()
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            pool, client = stand.node.pool, await stand.connect_client()
             send = stand.node.send
 
             def send_then_cancel(action: Send) -> None:
@@ -280,10 +294,10 @@
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
             stand.node.perform[Send] = send_then_cancel
-            assert (await client.ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.CANCELLED
+            assert (await client.send_request(build_request()))[0] == 503
+            assert (await stand.next_outcome()).result == Result.CANCELLED
             stand.node.perform[Send] = send
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
             assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
 
     run(test())
@@ -300,11 +314,11 @@
     monkeypatch.setattr(ServerConnection, "connection_made", cancel_when_made)
 
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            assert (await (await stand.client()).ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.CANCELLED
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 503
+            assert (await stand.next_outcome()).result == Result.CANCELLED
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
             assert peer.requests.empty() and not stand.node.pool.connections
 
     run(test())
@@ -313,48 +327,48 @@
 def test_bytes_on_idle_server_connection_close_it(caplog: pytest.LogCaptureFixture) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def keep_writer(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def keep_writer(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await Peer(keep_writer).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(request()))[0] == 200
-            writers[0].write(OK.replace(b"done", b"late"))
-            await asyncio.wait_for(peer.ended.get(), WAIT)
+        peer = await FakeServer(keep_writer).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[0] == 200
+            writers[0].write(OK_RESPONSE.replace(b"done", b"late"))
+            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
             assert not caplog.records  # closed on purpose, not by an exception
-            assert (await client.ask(request()))[2] == b"done"
-            assert peer.connections == 2
+            assert (await client.send_request(build_request()))[2] == b"done"
+            assert peer.connection_count == 2
 
     run(test())
 
 
 def test_upgrade_request_is_served_as_last_request_of_connection() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            client = await stand.client()
-            data = request() + request(Connection="upgrade", Upgrade="websocket")
-            assert (await client.ask(data))[0] == 200
-            assert (await client.answer())[0] == 200
-            assert await client.end() == b""
+        async with run_node(await FakeServer().start()) as stand:
+            client = await stand.connect_client()
+            data = build_request() + build_request(Connection="upgrade", Upgrade="websocket")
+            assert (await client.send_request(data))[0] == 200
+            assert (await client.read_response())[0] == 200
+            assert await client.read_until_close() == b""
 
     run(test())
 
 
 def test_policy_gets_class_tenant_key_hint_and_retry_mark() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
-            client = await stand.client()
-            assert (await client.ask(request(Tenant="nobody")))[0] == 400
-            data = request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
-            assert (await client.ask(data))[0] == 200
-            event = await stand.event(Request)
+        async with run_node(await FakeServer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(build_request(Tenant="nobody")))[0] == 400
+            data = build_request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
+            assert (await client.send_request(data))[0] == 200
+            event = await stand.next_event(Request)
             assert (event.cls, event.tenant, event.key) == (1, 1, stable_id(b"42"))
             assert (event.hint, event.repeat) == (2.5, True)
-            assert (await client.ask(request(Tenant="acme", Work_Hint="much")))[0] == 200
-            event = await stand.event(Request)
+            assert (await client.send_request(build_request(Tenant="acme", Work_Hint="much")))[0] == 200
+            event = await stand.next_event(Request)
             assert (event.cls, event.tenant, event.hint, event.repeat) == (0, 0, 0.0, False)
 
     run(test())
@@ -362,24 +376,33 @@
 
 def test_white_space_around_header_values_is_removed() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer, tenants={b"acme": 0}) as stand:
-            data = request("book", Tenant="acme \t", Request_Timeout=" 8000m ", Idempotency_Key="\t5c0f ")
-            assert (await (await stand.client()).ask(data.replace(b"Request-Timeout: 8000m\r\n", b"")))[
-                0
-            ] == 200
+        peer = await FakeServer().start()
+        async with run_node(peer, tenants={b"acme": 0}) as stand:
+            data = build_request(
+                "book", Tenant="acme \t", Request_Timeout=" 8000m ", Idempotency_Key="\t5c0f "
+            )
+            assert (
+                await (await stand.connect_client()).send_request(
+                    data.replace(b"Request-Timeout: 8000m\r\n", b"")
+                )
+            )[0] == 200
             forwarded = await peer.requests.get()
-            assert (field(forwarded, b"Tenant"), field(forwarded, b"Idempotency-Key")) == (b"acme", b"5c0f")
+            assert (header_value(forwarded, b"Tenant"), header_value(forwarded, b"Idempotency-Key")) == (
+                b"acme",
+                b"5c0f",
+            )
 
     run(test())
 
 
 def test_forwarded_timeout_leaves_margin_for_response() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            assert (await (await stand.client()).ask(request(timeout="3000m")))[0] == 200
-            left = field(await peer.requests.get(), b"Request-Timeout")
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            assert (await (await stand.connect_client()).send_request(build_request(timeout="3000m")))[
+                0
+            ] == 200
+            left = header_value(await peer.requests.get(), b"Request-Timeout")
             assert left is not None and int(left[:-1]) <= 3000 - MARGIN
 
     run(test())
@@ -389,26 +412,26 @@
     monkeypatch.setattr(client_connections, "now_ms", lambda: 1000.0)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            client = await stand.client()
-            client.writer.write(request(timeout="45m"))
-            due = (await stand.event(Request)).due
+        async with run_node(await FakeServer().start()) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request(timeout="45m"))
+            due = (await stand.next_event(Request)).due
             assert 1035.0 <= due < 1045.0
 
     run(test())
 
 
 def test_pipelined_requests_get_responses_in_order() -> None:
-    async def echo(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def echo(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
 
     async def test() -> None:
-        async with running(await Peer(echo).start()) as stand:
-            client = await stand.client()
-            client.writer.write(b"".join(request(key=f"k{i}") for i in range(40)))
+        async with run_node(await FakeServer(echo).start()) as stand:
+            client = await stand.connect_client()
+            client.writer.write(b"".join(build_request(key=f"k{i}") for i in range(40)))
             for i in range(40):
-                assert (await client.answer())[2] == b"k%d" % i
+                assert (await client.read_response())[2] == b"k%d" % i
 
     run(test())
 
@@ -416,65 +439,66 @@
 def test_pipelined_requests_all_get_responses_when_node_stops() -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await Peer(delayed_response).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            client.writer.write(request() * 3)
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+        peer = await FakeServer(delayed_response).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request() * 3)
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             stand.node.stopping = True
             release.set()
             for connection in (None, None, b"close"):
-                status, head, _ = await client.answer()
-                assert (status, field(head, b"Connection")) == (200, connection)
-            assert await client.end() == b""
+                status, head, _ = await client.read_response()
+                assert (status, header_value(head, b"Connection")) == (200, connection)
+            assert await client.read_until_close() == b""
 
     run(test())
 
 
 def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # before that the node is not ready
-            client = await stand.client()
+        async with run_node(await FakeServer().start()) as stand:
+            await asyncio.wait_for(stand.node.told.wait(), TIMEOUT_S)  # before that the node is not ready
+            client = await stand.connect_client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
 
     run(test())
 
 
 INVALID_REQUESTS = [
     (b"nonsense\r\n\r\n", 400, True),
-    (request().replace(b"Request-Id", b"X-Id"), 400, False),
-    (request().replace(b"Request-Timeout", b"X-Timeout"), 400, False),
-    (request(timeout="soon"), 400, False),
-    (request(timeout="-5m"), 400, False),
-    (request(Request_ID="twice"), 400, False),
-    (request("book").replace(b"Idempotency-Key", b"X-Key"), 400, False),
-    (request("pay", Idempotency_Key="5c0f"), 400, False),
-    (request(Content_Length="1") + b"x", 400, False),
-    (request("unknown"), 404, False),
-    (request().replace(b"GET", b"PUT"), 405, False),
-    (request("pay").replace(b"POST", b"GET"), 405, False),
-    (request("pay", Content_Length="33554433") + bytes(70000), 413, True),
-    (request("pay", Content_Length="33554433", Expect="100-continue"), 413, True),
-    (request("pay", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400, True),
+    (build_request().replace(b"Request-Id", b"X-Id"), 400, False),
+    (build_request().replace(b"Request-Timeout", b"X-Timeout"), 400, False),
+    (build_request(timeout="soon"), 400, False),
+    (build_request(timeout="-5m"), 400, False),
+    (build_request(Request_ID="twice"), 400, False),
+    (build_request("book").replace(b"Idempotency-Key", b"X-Key"), 400, False),
+    (build_request("pay", Idempotency_Key="5c0f"), 400, False),
+    (build_request(Content_Length="1") + b"x", 400, False),
+    (build_request("unknown"), 404, False),
+    (build_request().replace(b"GET", b"PUT"), 405, False),
+    (build_request("pay").replace(b"POST", b"GET"), 405, False),
+    (build_request("pay", Content_Length="33554433") + bytes(70000), 413, True),
+    (build_request("pay", Content_Length="33554433", Expect="100-continue"), 413, True),
+    (build_request("pay", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400, True),
     (
-        request("pay", Content_Length="4").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n") + b"ride",
+        build_request("pay", Content_Length="4").replace(b"\r\n\r\n", b"\r\nContent-Length: 3\r\n\r\n")
+        + b"ride",
         400,
         True,
     ),
-    (request(Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n", 501, True),
-    (request(Transfer_Encoding="chunked, gzip") + b"0\r\n\r\n", 400, True),
-    (request(Transfer_Encoding="chunked").replace(b"HTTP/1.1", b"HTTP/1.0") + b"0\r\n\r\n", 400, True),
-    (request().replace(b"HTTP/1.1", b"HTTP/2.0"), 505, True),
-    (request("pay", Content_Length="70000").replace(b"Request-Id", b"X-Id") + bytes(70000), 400, True),
-    (request(X="y" * 20000), 431, True),
+    (build_request(Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n", 501, True),
+    (build_request(Transfer_Encoding="chunked, gzip") + b"0\r\n\r\n", 400, True),
+    (build_request(Transfer_Encoding="chunked").replace(b"HTTP/1.1", b"HTTP/1.0") + b"0\r\n\r\n", 400, True),
+    (build_request().replace(b"HTTP/1.1", b"HTTP/2.0"), 505, True),
+    (build_request("pay", Content_Length="70000").replace(b"Request-Id", b"X-Id") + bytes(70000), 400, True),
+    (build_request(X="y" * 20000), 431, True),
     (b"GET /" + b"a" * 20000, 431, True),
     (b"GET /find/1 HTTP/1.1\r\nX: " + b"a" * 20000, 431, True),
 ]
@@ -483,32 +507,32 @@
 @pytest.mark.parametrize(("data", "status", "ends"), INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
 def test_invalid_request_is_rejected_and_not_forwarded(data: bytes, status: int, ends: bool) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            assert (await client.ask(data))[0] == status
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(data))[0] == status
             assert peer.requests.empty()
             if ends:
-                assert await client.end() == b""
-                client = await stand.client()
-            assert (await client.ask(request()))[0] == 200
+                assert await client.read_until_close() == b""
+                client = await stand.connect_client()
+            assert (await client.send_request(build_request()))[0] == 200
 
     run(test())
 
 
 def test_policy_exception_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            client = await stand.client()
+        async with run_node(await FakeServer().start()) as stand:
+            client = await stand.connect_client()
             handle = stand.node.policy.handle
 
             def raise_error(now: float, event: object) -> Any:
                 raise RuntimeError("broken on purpose")
 
             stand.node.policy.handle = raise_error  # type: ignore[method-assign]
-            assert (await client.ask(request()))[0] == 500
+            assert (await client.send_request(build_request()))[0] == 500
             stand.node.policy.handle = handle  # type: ignore[method-assign]
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
             assert not stand.node.held
 
     run(test())
@@ -529,28 +553,28 @@
 )
 def test_malformed_watch_line_keeps_list_and_fetches_full_list(line: bytes) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client, calls = await stand.client(), stand.agent.calls
-            assert await calls.get() == WATCH
-            stand.agent.lines.put_nowait(line + b"\n")
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
-            assert await asyncio.wait_for(calls.get(), WAIT) == WATCH
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client, calls = await stand.connect_client(), stand.discovery.request_targets
+            assert await calls.get() == WATCH_TARGET
+            stand.discovery.watch_lines.put_nowait(line + b"\n")
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == WATCH_TARGET
             # Only after the full list has arrived: a change in the malformed line counts as known.
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
 
     run(test())
 
 
 def test_ended_watch_resumes_at_its_version() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            calls = stand.agent.calls
-            assert await calls.get() == WATCH
-            stand.agent.push(5, [peer.entry("s-1", "leaving")])
-            stand.agent.lines.put_nowait(None)
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            calls = stand.discovery.request_targets
+            assert await calls.get() == WATCH_TARGET
+            stand.discovery.push_update(5, [peer.list_entry("s-1", "leaving")])
+            stand.discovery.watch_lines.put_nowait(None)
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=5"
             assert stand.node.pool.servers[stable_id(b"s-1")].state is State.DRAINING
 
     run(test())
@@ -560,10 +584,10 @@
     monkeypatch.setattr(discovery, "SILENCE", 0.05)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
+        async with run_node(await FakeServer().start()) as stand:
             for _ in range(3):
-                call = await asyncio.wait_for(stand.agent.calls.get(), WAIT)
-                assert call == WATCH
+                call = await asyncio.wait_for(stand.discovery.request_targets.get(), TIMEOUT_S)
+                assert call == WATCH_TARGET
             assert stand.node.healthy and not stand.node.pool.servers.keys() - stand.node.listed
 
     run(test())
@@ -571,24 +595,24 @@
 
 def test_expect_continue_gets_100_response() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            client = await stand.client()
-            head, body = request("book", body=b"ride", Expect="100-continue")[:-4], b"ride"
-            assert (await client.ask(head))[0] == 100
-            assert (await client.ask(body))[0] == 200
+        async with run_node(await FakeServer().start()) as stand:
+            client = await stand.connect_client()
+            head, body = build_request("book", body=b"ride", Expect="100-continue")[:-4], b"ride"
+            assert (await client.send_request(head))[0] == 100
+            assert (await client.send_request(body))[0] == 200
 
     run(test())
 
 
 def test_health_check_fails_without_list() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer, known_list={}) as stand:
-            client = await stand.client()
-            await stand.event(ServerList)
-            assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+        peer = await FakeServer().start()
+        async with run_node(peer, known_list={}) as stand:
+            client = await stand.connect_client()
+            await stand.next_event(ServerList)
+            assert (await client.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
             stand.node.healthy = False
-            assert (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
+            assert (await client.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
 
     run(test())
 
@@ -600,45 +624,49 @@
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
     async def test() -> None:
-        peer = await Peer().start()
+        peer = await FakeServer().start()
         # Where lists are pushed, the list may be used for half the grace after discovery is known to be down.
         # This test sets a grace.
-        rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * WAIT)
-        async with running(peer, settings=rules) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), WAIT)  # confirmed by an empty line: no changes
+        rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * TIMEOUT_S)
+        async with run_node(peer, settings=rules) as stand:
+            await asyncio.wait_for(
+                stand.node.told.wait(), TIMEOUT_S
+            )  # confirmed by an empty line: no changes
         # From here on discovery stays silent.
         monkeypatch.setattr(discovery.Discovery, "run", lambda self: asyncio.Event().wait())
-        async with running(peer, settings=rules, confirmed=False) as stand:
-            client = await stand.client()
-            assert (await client.ask(health))[0] == (200 if asks else 503)
+        async with run_node(peer, settings=rules, wait_for_list=False) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(health))[0] == (200 if asks else 503)
             # Pushed changes since the list from before the restart count as known.
-            assert (await client.ask(request()))[0] == (200 if asks else 503)
-            stand.node.take_list({"generation": 2, "reset": True, "instances": [peer.entry("s-1")]}, True)
+            assert (await client.send_request(build_request()))[0] == (200 if asks else 503)
+            stand.node.take_list(
+                {"generation": 2, "reset": True, "instances": [peer.list_entry("s-1")]}, True
+            )
             stand.node.take_reach(Reach.CONFIRMED, now_ms())
-            assert (await client.ask(health))[0] == 200
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(health))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
         monkeypatch.setattr(node, "FIRST_LIST", 0.0)
-        async with running(peer, settings=rules, confirmed=False) as stand:
-            client = await stand.client()
-            assert (await client.ask(health))[0] == (200 if asks else 503)
+        async with run_node(peer, settings=rules, wait_for_list=False) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(health))[0] == (200 if asks else 503)
             stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
-            assert (await client.ask(health))[0] == 200
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(health))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
 
     run(test())
 
 
 def test_late_outcome_reaches_policy_but_not_client() -> None:
     async def test() -> None:
-        peer = await Peer(stay_silent).start()
-        async with running(peer) as stand:
-            client = await stand.client()
-            client.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+        peer = await FakeServer(never_respond).start()
+        async with run_node(peer) as stand:
+            client = await stand.connect_client()
+            client.writer.write(build_request())
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             stand.node.answer(stand.node.last_id, 502)
             stand.node.pool.cancel(stand.node.last_id, 0)
-            assert (await client.answer())[0] == 502
-            outcome: Outcome = await stand.outcome()
+            assert (await client.read_response())[0] == 502
+            outcome: Outcome = await stand.next_outcome()
             assert outcome.over and outcome.result == Result.CANCELLED
 
     run(test())
@@ -646,9 +674,9 @@
 
 def test_request_with_too_short_timeout_is_refused_at_once() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            assert (await (await stand.client()).ask(request(timeout="20m")))[0] == 503
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            assert (await (await stand.connect_client()).send_request(build_request(timeout="20m")))[0] == 503
             assert peer.requests.empty()
 
     run(test())
@@ -656,27 +684,27 @@
 
 def test_keyed_request_that_may_have_run_is_retried_with_its_key() -> None:
     async def test() -> None:
-        peers = [await Peer(hang_up).start(), await Peer(hang_up).start()]
-        async with running(*peers, attempts=4) as stand:
+        peers = [await FakeServer(abort_connection).start(), await FakeServer(abort_connection).start()]
+        async with run_node(*peers, max_attempts=4) as stand:
             stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
-            data = request("book")
-            assert (await (await stand.client()).ask(data))[0] == 503
+            data = build_request("book")
+            assert (await (await stand.connect_client()).send_request(data))[0] == 503
             for peer in peers:
-                forwarded = await asyncio.wait_for(peer.requests.get(), WAIT)
-                assert field(forwarded, b"Idempotency-Key") == b"5c0f"
-                assert field(forwarded, b"Request-Id") == field(data, b"Request-Id")
+                forwarded = await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+                assert header_value(forwarded, b"Idempotency-Key") == b"5c0f"
+                assert header_value(forwarded, b"Request-Id") == header_value(data, b"Request-Id")
 
     run(test())
 
 
 def test_server_connection_idle_for_too_long_is_not_reused() -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer, idle_timeout_ms=0.0) as stand:
-            client = await stand.client()
+        peer = await FakeServer().start()
+        async with run_node(peer, idle_timeout_ms=0.0) as stand:
+            client = await stand.connect_client()
             for _ in range(2):
-                assert (await client.ask(request()))[0] == 200
-            assert peer.connections == 2
+                assert (await client.send_request(build_request()))[0] == 200
+            assert peer.connection_count == 2
 
     run(test())
 
@@ -687,19 +715,19 @@
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
     last: dict[asyncio.StreamWriter, float] = {}
 
-    async def short_lived(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def short_lived(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if clock[0] - last.get(writer, clock[0]) > 100:
             writer.transport.abort()
         last[writer] = clock[0]
-        writer.write(OK)
+        writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        async with running(await Peer(short_lived).start()) as stand:
-            client, answers = await stand.client(), []
+        async with run_node(await FakeServer(short_lived).start()) as stand:
+            client, answers = await stand.connect_client(), []
             for _ in range(8):
                 for _ in range(8):
                     clock[0] += server_connections.REST
-                    answers.append((await client.ask(request("pay")))[0])
+                    answers.append((await client.send_request(build_request("pay")))[0])
                 clock[0] += 500
             assert answers.count(502) == 3
             assert answers[-24:] == [200] * 24
@@ -722,15 +750,15 @@
 
 def test_longest_idle_client_is_evicted_at_descriptor_limit() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with run_node(await FakeServer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
-            clients = [await stand.client() for _ in range(limit)]
+            clients = [await stand.connect_client() for _ in range(limit)]
             for client in clients:
-                assert (await client.ask(request()))[0] == 200
-            newest = await stand.client()
-            assert (await newest.ask(request()))[0] == 200
-            assert await clients[0].end() == b""
-            assert (await clients[1].ask(request()))[0] == 200
+                assert (await client.send_request(build_request()))[0] == 200
+            newest = await stand.connect_client()
+            assert (await newest.send_request(build_request()))[0] == 200
+            assert await clients[0].read_until_close() == b""
+            assert (await clients[1].send_request(build_request()))[0] == 200
             assert len(stand.node.listener.connections) == limit
 
     run(test())
@@ -739,28 +767,28 @@
 @pytest.mark.parametrize("ask", [False, True])
 def test_lingering_connections_count_against_descriptor_limit(ask: bool) -> None:
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with run_node(await FakeServer().start(), sockets=96) as stand:
             listener, max_open = stand.node.listener, 0
             clients = []
             for _ in range(2 * listener.max_connections):
-                clients.append(await stand.client())
+                clients.append(await stand.connect_client())
                 if ask:
-                    assert (await clients[-1].ask(request()))[0] == 200
+                    assert (await clients[-1].send_request(build_request()))[0] == 200
                 max_open = max(max_open, len(listener.connections) + len(listener.lingering))
             assert max_open <= listener.max_connections
-            assert (await (await stand.client()).ask(request()))[0] == 200
+            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 200
 
     run(test())
 
 
 def test_server_connections_stay_under_their_limit() -> None:
     async def test() -> None:
-        peers = [await Peer(stay_silent).start() for _ in range(3)]
-        async with running(*peers) as stand:
+        peers = [await FakeServer(never_respond).start() for _ in range(3)]
+        async with run_node(*peers) as stand:
             stand.node.pool.max_connections = 0
-            assert (await (await stand.client()).ask(request()))[0] == 503
-            assert (await stand.outcome()).result == Result.UNREACHABLE
-            assert not any(peer.connections for peer in peers)
+            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 503
+            assert (await stand.next_outcome()).result == Result.UNREACHABLE
+            assert not any(peer.connection_count for peer in peers)
 
     run(test())
 
@@ -769,17 +797,17 @@
     monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            client = await stand.client()
-            assert (await client.ask(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
-            assert await client.end() == b""
+        async with run_node(await FakeServer().start()) as stand:
+            client = await stand.connect_client()
+            assert (await client.send_request(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
+            assert await client.read_until_close() == b""
 
     run(test())
 
 
 @pytest.mark.parametrize(
     "data",
-    [b"", b"GET /find/1 HTTP/1.1\r\nHost:", b"GET /_health HTTP/1.1\r\n\r\n", request("unknown")],
+    [b"", b"GET /find/1 HTTP/1.1\r\nHost:", b"GET /_health HTTP/1.1\r\n\r\n", build_request("unknown")],
     ids=["nothing", "part", "health", "improper"],
 )
 def test_connection_without_valid_request_is_closed(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -787,27 +815,27 @@
     monkeypatch.setattr(client_connections, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            valid, invalid = await stand.client(), await stand.client()
-            assert (await valid.ask(request()))[0] == 200
+        async with run_node(await FakeServer().start()) as stand:
+            valid, invalid = await stand.connect_client(), await stand.connect_client()
+            assert (await valid.send_request(build_request()))[0] == 200
             invalid.writer.write(data)
-            await invalid.end()
-            assert (await valid.ask(request()))[0] == 200
+            await invalid.read_until_close()
+            assert (await valid.send_request(build_request()))[0] == 200
 
     run(test())
 
 
 def test_connections_without_valid_request_are_evicted_first() -> None:
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with run_node(await FakeServer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
-            valid = await stand.client()
-            assert (await valid.ask(request()))[0] == 200
-            clients = [await stand.client() for _ in range(limit)]
+            valid = await stand.connect_client()
+            assert (await valid.send_request(build_request()))[0] == 200
+            clients = [await stand.connect_client() for _ in range(limit)]
             for client in clients[-5:]:
-                assert (await client.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert await clients[0].end() == b""
-            assert (await valid.ask(request()))[0] == 200
+                assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
+            assert await clients[0].read_until_close() == b""
+            assert (await valid.send_request(build_request()))[0] == 200
             assert len(stand.node.listener.connections) <= limit
 
     run(test())
@@ -819,34 +847,34 @@
     monkeypatch.setattr(client_connections, "FIRST_REQUEST_STALL_S", 1.0)
 
     async def test() -> None:
-        async with running(await Peer().start(), sockets=96) as stand:
+        async with run_node(await FakeServer().start(), sockets=96) as stand:
             limit = stand.node.listener.max_connections
-            idle = await stand.client()
-            assert (await idle.ask(request()))[0] == 200
-            stopped, slow, silent = [await stand.client() for _ in range(3)]
-            stopped.writer.write(request()[:20])
-            data = request()
+            idle = await stand.connect_client()
+            assert (await idle.send_request(build_request()))[0] == 200
+            stopped, slow, silent = [await stand.connect_client() for _ in range(3)]
+            stopped.writer.write(build_request()[:20])
+            data = build_request()
             for i in range(0, len(data), 16):
                 slow.writer.write(data[i : i + 16])
                 await asyncio.sleep(0.15)
                 if i == 128:  # the stalled client is over the limit by now
-                    clients = [await stand.client() for _ in range(limit - 4)]
+                    clients = [await stand.connect_client() for _ in range(limit - 4)]
                     for client in clients:
-                        assert (await client.ask(request()))[0] == 200
+                        assert (await client.send_request(build_request()))[0] == 200
                     for first in (silent, stopped, idle):
                         assert not first.reader.at_eof()
-                        newest = await stand.client()
-                        assert (await newest.ask(request()))[0] == 200
-                        assert await first.end() == b""
-            assert (await slow.answer())[0] == 200
+                        newest = await stand.connect_client()
+                        assert (await newest.send_request(build_request()))[0] == 200
+                        assert await first.read_until_close() == b""
+            assert (await slow.read_response())[0] == 200
 
     run(test())
 
 
 def test_connections_use_tcp_nodelay() -> None:
     async def test() -> None:
-        async with running(await Peer().start()) as stand:
-            assert (await (await stand.client()).ask(request()))[0] == 200
+        async with run_node(await FakeServer().start()) as stand:
+            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 200
             (client,) = stand.node.listener.connections
             (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
             for connection in (client, server):
@@ -863,15 +891,15 @@
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
 def test_node_survives_any_client_input(data: bytes) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            invalid = await stand.client()
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            invalid = await stand.connect_client()
             invalid.writer.write(data)
             invalid.writer.write_eof()
             with suppress(ConnectionError):  # a reset is allowed too
-                await invalid.end()
+                await invalid.read_until_close()
             assert peer.requests.empty()
-            assert (await (await stand.client()).ask(request()))[0] == 200
+            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 200
             assert not stand.node.held
 
     run(test())
@@ -881,14 +909,14 @@
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
 def test_request_may_arrive_in_parts(cuts: list[int]) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        async with running(peer) as stand:
-            client, data = await stand.client(), request("book", body=b"x" * 40)
+        peer = await FakeServer().start()
+        async with run_node(peer) as stand:
+            client, data = await stand.connect_client(), build_request("book", body=b"x" * 40)
             offsets = [0, *sorted(cuts), len(data)]
             for start, end in zip(offsets, offsets[1:], strict=False):
                 client.writer.write(data[start:end])
                 await asyncio.sleep(0)
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
             assert (await peer.requests.get()).endswith(b"x" * 40)
 
     run(test())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -18,7 +18,16 @@
 import pytest
 import uvloop
 
-from tests.net import WAIT, Agent, Client, Peer, Script, answer_ok, field, request
+from tests.net import (
+    TIMEOUT_S,
+    FakeDiscovery,
+    FakeServer,
+    RawClient,
+    ResponseScript,
+    build_request,
+    header_value,
+    respond_ok,
+)
 from tests.test_simulator_wire import SETTINGS
 
 COMMAND = [sys.executable, "-B", "-m", "flaxstep.proxy"]
@@ -85,13 +94,13 @@
             await node.wait()
 
 
-async def connect(port: int) -> Client:
-    return Client(*await asyncio.open_connection("127.0.0.1", port))
+async def connect(port: int) -> RawClient:
+    return RawClient(*await asyncio.open_connection("127.0.0.1", port))
 
 
 async def log_line(node: Process) -> str:
     assert node.stderr is not None
-    line = (await asyncio.wait_for(node.stderr.readline(), WAIT)).decode()
+    line = (await asyncio.wait_for(node.stderr.readline(), TIMEOUT_S)).decode()
     assert line
     return line
 
@@ -99,45 +108,45 @@
 def test_sigterm_serves_pending_and_new_requests(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await answer_ok(peer, head, writer)
+        await respond_ok(peer, head, writer)
 
-    async def test(script: Script) -> None:
-        peer = await Peer(script).start()
-        agent = await Agent([peer.entry()]).start()
+    async def test(script: ResponseScript) -> None:
+        peer = await FakeServer(script).start()
+        agent = await FakeDiscovery([peer.list_entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path) as (node, port):
             pending, idle = await connect(port), await connect(port)
-            assert (await idle.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            pending.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            assert (await idle.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
+            pending.writer.write(build_request())
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             node.send_signal(signal.SIGTERM)
-            assert await idle.end() == b""  # an idle connection is closed
+            assert await idle.read_until_close() == b""  # an idle connection is closed
             newcomer = await connect(port)  # new ones are still accepted
-            newcomer.writer.write(request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            newcomer.writer.write(build_request())
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             release.set()
             for waiting in (pending, newcomer):
-                status, head, _ = await waiting.answer()
-                assert (status, field(head, b"Connection")) == (200, b"close")
+                status, head, _ = await waiting.read_response()
+                assert (status, header_value(head, b"Connection")) == (200, b"close")
                 waiting.writer.close()
-            assert await asyncio.wait_for(node.wait(), WAIT) == 0
+            assert await asyncio.wait_for(node.wait(), TIMEOUT_S) == 0
 
     uvloop.run(test(delayed_response))
 
 
 def test_sighup_moves_watch_and_keeps_connections(tmp_path: Path) -> None:
     async def test() -> None:
-        peer, later = await Peer().start(), await Peer().start()
-        first = await Agent([peer.entry()]).start()
-        second = await Agent([later.entry()], generation=2).start()
+        peer, later = await FakeServer().start(), await FakeServer().start()
+        first = await FakeDiscovery([peer.list_entry()]).start()
+        second = await FakeDiscovery([later.list_entry()], generation=2).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{first.port}"}))
         async with running_process(path) as (node, port):
             client = await connect(port)
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
             for broken in ("not JSON", "[]", "{}", '{"discovery": 7}', '{"discovery": "nowhere"}'):
                 path.write_text(broken)
                 node.send_signal(signal.SIGHUP)
@@ -145,11 +154,14 @@
                     pass
             path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
-            second.push(2, [peer.entry(state="left"), later.entry("s-2")])
+            assert (
+                await asyncio.wait_for(second.request_targets.get(), TIMEOUT_S)
+                == "/catalog/members?watch=1&from=1"
+            )
+            second.push_update(2, [peer.list_entry(lifecycle="left"), later.list_entry("s-2")])
             while "list 2" not in await log_line(node):
                 pass
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
             assert later.requests.qsize() == 1
 
     uvloop.run(test())
@@ -158,8 +170,8 @@
 async def wait_for_clean_exit(node: Process) -> None:
     """Wait for exit code 0 without a traceback or an error in the log."""
     assert node.stderr is not None
-    log_text = (await asyncio.wait_for(node.stderr.read(), WAIT)).decode()
-    assert await asyncio.wait_for(node.wait(), WAIT) == 0
+    log_text = (await asyncio.wait_for(node.stderr.read(), TIMEOUT_S)).decode()
+    assert await asyncio.wait_for(node.wait(), TIMEOUT_S) == 0
     assert "Traceback" not in log_text and "ERROR" not in log_text, log_text
 
 
@@ -180,13 +192,13 @@
 ) -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: Peer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await answer_ok(peer, head, writer)
+        await respond_ok(peer, head, writer)
 
     async def test() -> None:
-        peer = await Peer(delayed_response).start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await FakeServer(delayed_response).start()
+        agent = await FakeDiscovery([peer.list_entry()]).start()
         raw = raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}
         if not ready:
             raw["discovery"] = "127.0.0.1:1"  # nothing listens there: the node never gets a list
@@ -198,17 +210,17 @@
                     pass
             else:
                 client = await connect(port)
-                client.writer.write(request())
-                await asyncio.wait_for(peer.requests.get(), WAIT)
+                client.writer.write(build_request())
+                await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             for number in signals:
                 node.send_signal(number)
             if ready:
                 while "stopping" not in await log_line(node):
                     pass
                 release.set()
-                status, head, _ = await client.answer()
-                assert (status, field(head, b"Connection")) == (200, b"close")
-                assert await client.end() == b""
+                status, head, _ = await client.read_response()
+                assert (status, header_value(head, b"Connection")) == (200, b"close")
+                assert await client.read_until_close() == b""
                 client.writer.close()
             await wait_for_clean_exit(node)
 
@@ -217,12 +229,12 @@
 
 def test_unfinished_requests_get_responses_before_node_ends(tmp_path: Path) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await FakeServer().start()
+        agent = await FakeDiscovery([peer.list_entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path) as (node, port):
-            finishing, unfinished, data = await connect(port), await connect(port), request()
+            finishing, unfinished, data = await connect(port), await connect(port), build_request()
             finishing.writer.write(data[:40])
             unfinished.writer.write(data[:40])
             await finishing.writer.drain()
@@ -231,11 +243,11 @@
             while "stopping" not in await log_line(node):
                 pass
             finishing.writer.write(data[40:])
-            assert (await finishing.answer())[0] == 200
-            status, head, _ = await unfinished.answer()
-            assert (status, field(head, b"Connection")) == (503, b"close")
+            assert (await finishing.read_response())[0] == 200
+            status, head, _ = await unfinished.read_response()
+            assert (status, header_value(head, b"Connection")) == (503, b"close")
             for each in (finishing, unfinished):
-                assert await each.end() == b""
+                assert await each.read_until_close() == b""
                 each.writer.close()
             await wait_for_clean_exit(node)
 
@@ -245,5 +257,5 @@
 async def wait_for_loop_turn(port: int) -> None:
     """Wait for a turn of the node's loop, so that it has read everything sent before."""
     other = await connect(port)
-    await other.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+    await other.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
     other.writer.close()
--- a/tests/test_syscalls.py
+++ b/tests/test_syscalls.py
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 
-from tests.net import Agent, Peer, request
+from tests.net import FakeDiscovery, FakeServer, build_request
 from tests.shim import build_shim
 from tests.test_process import connect, log_line, raw_config, running_process
 
@@ -32,8 +32,8 @@
     tmp_path: Path, shim: Path, error: int
 ) -> None:
     async def test() -> None:
-        peer = await Peer().start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await FakeServer().start()
+        agent = await FakeDiscovery([peer.list_entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path, environ(shim, f"socket:{error}:1:12"), wait=False) as (node, _):
@@ -43,9 +43,9 @@
             assert delayed
             client = await connect(int(match[1]))
             async with asyncio.timeout(10.0):
-                while (await client.ask(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] != 200:
+                while (await client.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] != 200:
                     await asyncio.sleep(0.05)
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.send_request(build_request()))[0] == 200
 
     uvloop.run(test())
 
@@ -69,14 +69,14 @@
         with suppress(OSError, asyncio.IncompleteReadError):
             client = await connect(port)
             try:
-                return (await client.ask(request(timeout="3000m")))[0]
+                return (await client.send_request(build_request(timeout="3000m")))[0]
             finally:
                 client.writer.close()
         return None
 
     async def test() -> None:
-        peer = await Peer().start()
-        agent = await Agent([peer.entry()]).start()
+        peer = await FakeServer().start()
+        agent = await FakeDiscovery([peer.list_entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path, environ(shim, faults)) as (node, port):
