--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt names, and says so; the list itself has to be in order."""
+"""Skips the tests that KNOWN-RED.txt lists and reports each; a malformed list is a usage error."""
 
 from __future__ import annotations
 
@@ -6,29 +6,30 @@
 
 from tests import known_red
 
-REDS = pytest.StashKey[list[known_red.KnownRed]]()
+KNOWN_REDS = pytest.StashKey[list[known_red.KnownRed]]()
 
 
 def pytest_configure(config: pytest.Config) -> None:
     path = config.rootpath / "KNOWN-RED.txt"
     try:
-        config.stash[REDS] = known_red.read(path.read_text() if path.exists() else "")
-    except known_red.BadList as error:
+        config.stash[KNOWN_REDS] = known_red.parse_list(path.read_text() if path.exists() else "")
+    except known_red.InvalidList as error:
         raise pytest.UsageError(str(error)) from None
 
 
-@pytest.hookimpl(tryfirst=True)  # before any are deselected
+@pytest.hookimpl(tryfirst=True)  # before pytest deselects any, so that the check of the list sees all tests
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    reds = config.stash[REDS]
-    if config.args_source is pytest.Config.ArgsSource.TESTPATHS:  # else not all tests are here
-        for red in known_red.unknown(reds, (item.nodeid for item in items)):
+    reds = config.stash[KNOWN_REDS]
+    # With paths on the command line only some of the tests are collected.
+    if config.args_source is pytest.Config.ArgsSource.TESTPATHS:
+        for red in known_red.find_stale_entries(reds, (item.nodeid for item in items)):
             raise pytest.UsageError(f"KNOWN-RED.txt: {red.test} names no test")
     for item in items:
         for red in reds:
-            if red.names(item.nodeid):
+            if red.matches(item.nodeid):
                 item.add_marker(pytest.mark.skip(reason=f"known red, issue {red.issue}: {red.cause}"))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in config.stash[REDS]:
+    for red in config.stash[KNOWN_REDS]:
         terminalreporter.write_line(f"KNOWN RED, passed over: {red.test} (issue {red.issue}: {red.cause})")
--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""Loopback servers for a node under test: servers that follow a script, discovery, and a raw client."""
+"""Runs a node against fake job servers and a fake discovery on loopback, with a raw client."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 EFFECT_BY_CLASS = {"find": Effect.SAFE, "book": Effect.KEYED, "pay": Effect.UNSAFE}
-WATCH_TARGET = "/catalog/members?watch=1&from=1"  # a node that knows the first list asks so
-TIMEOUT_S = 10.0  # s, for what must come; only a failing test gets there
+WATCH_TARGET = "/catalog/members?watch=1&from=1"  # the watch request of a node that has list 1
+TIMEOUT_S = 10.0
 
+# Writes the response to one request: gets the server, the head of the request and the connection's writer.
 ResponseScript = Callable[["FakeServer", bytes, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -40,7 +41,10 @@
 
 
 class FakeServer:
-    """A server. Each request it gets goes into `requests`, each connection that ends into `ended`."""
+    """A job server that handles each request with a script.
+
+    `requests` gets the bytes of each request, and `closed_connections` one item for each closed connection.
+    """
 
     def __init__(self, script: ResponseScript = respond_ok) -> None:
         self.script = script
@@ -84,11 +88,15 @@
 
 
 class FakeDiscovery:
-    """Discovery. Lines put into `lines` go out on the watch; None ends it. `calls` has every target."""
+    """A discovery service that serves one full list and sends changes to it on the watch.
+
+    Each line put into `watch_lines` is sent on the open watch, and None closes the watch. `request_targets`
+    gets the target of each request.
+    """
 
     def __init__(self, instances: list[dict[str, Any]], generation: int = 1) -> None:
         self.full_list = {"generation": generation, "reset": True, "instances": instances}
-        self.indent: int | None = None  # of what it writes
+        self.indent: int | None = None  # of the JSON that it sends
         self.watch_lines: asyncio.Queue[bytes | None] = asyncio.Queue()
         self.request_targets: asyncio.Queue[str] = asyncio.Queue()
 
@@ -120,14 +128,14 @@
 
 
 class RawClient:
-    """One connection to the node, driven by hand."""
+    """One client connection to the node, on which a test sends raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     async def read_response(self) -> tuple[int, bytes, bytes]:
-        """Status, head and body of the next answer."""
+        """Returns status, head and body of the next response."""
         async with asyncio.timeout(TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
             body = await self.reader.readexactly(int(header_value(head, b"Content-Length") or 0))
@@ -138,7 +146,7 @@
         return await self.read_response()
 
     async def read_until_close(self) -> bytes:
-        """What still comes until the node ends the connection."""
+        """Returns the bytes that arrive until the node closes the connection."""
         async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.read()
 
@@ -202,7 +210,7 @@
 
 
 class NodeFixture:
-    """A running node with what its policy was told."""
+    """A running node that records each event its policy handles."""
 
     def __init__(self, node: Node, discovery: FakeDiscovery) -> None:
         self.node = node
@@ -210,15 +218,15 @@
         self.events: asyncio.Queue[object] = asyncio.Queue()
         handle = node.policy.handle
 
-        def spy(now: float, event: Any) -> Any:
+        def record_event(now: float, event: Any) -> Any:
             actions = handle(now, event)
             self.events.put_nowait(event)
             return actions
 
-        node.policy.handle = spy  # type: ignore[method-assign]
+        node.policy.handle = record_event  # type: ignore[method-assign]
 
     async def next_event(self, kind: type) -> Any:
-        """The next event of a kind that the policy is told."""
+        """Waits for the next event of this type and returns it."""
         async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(event := await self.events.get(), kind):
                 pass
@@ -229,7 +237,7 @@
         return event
 
     async def call_admin(self, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
-        """One call at the operators' door: status and text."""
+        """Sends one request to the admin port and returns status and body."""
         caller = await self.connect_admin()
         head = f"{method} /admin/{path} HTTP/1.1\r\nHost: n0\r\nContent-Length: {len(body)}\r\n\r\n"
         status, _, text = await caller.send_request(head.encode() + body)
@@ -248,7 +256,10 @@
 async def run_node(
     *servers: FakeServer, wait_for_list: bool = True, **changes: Any
 ) -> AsyncIterator[NodeFixture]:
-    """A node that knows these servers as s-1, s-2 and so on, once discovery has confirmed that it does."""
+    """Runs a node whose last known list has these servers as s-1, s-2 and so on.
+
+    Unless `wait_for_list` is False, it waits until discovery has confirmed that list.
+    """
     entries = [server.list_entry(f"s-{i}") for i, server in enumerate(servers, 1)]
     discovery = await FakeDiscovery(entries).start()
     known = {"generation": 1, "reset": True, "instances": entries}
--- a/tests/test_import_directions.py
+++ b/tests/test_import_directions.py
@@ -1,4 +1,4 @@
-"""Which package may import which, and that no modules import one another in a circle."""
+"""Checks which package may import which, and that no package has an import cycle."""
 
 from __future__ import annotations
 
@@ -9,30 +9,34 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-REST = "flaxstep"  # the command line, the simulator, the fault bench and what else is in no package below
-MAY: dict[str, set[str]] = {
+# Stands for each module outside the packages below: the command line, the simulator and the fault bench.
+REMAINING_MODULES = "flaxstep"
+ALLOWED_IMPORTS: dict[str, set[str]] = {
     "flaxstep.routing": set(),
     "flaxstep.proxy": {"flaxstep.routing"},
     "flaxstep.rollout": set(),
-    REST: {"flaxstep.routing", "flaxstep.proxy", "flaxstep.rollout"},
+    REMAINING_MODULES: {"flaxstep.routing", "flaxstep.proxy", "flaxstep.rollout"},
 }
 
 
 def package_of(module: str) -> str | None:
-    """The package that a module belongs to; None for a module of somebody else."""
-    for package in sorted(MAY, key=len, reverse=True):
+    """Returns the package that a module belongs to, or None for a module from outside this project."""
+    for package in sorted(ALLOWED_IMPORTS, key=len, reverse=True):
         if module == package or module.startswith(f"{package}."):
             return package
     return None
 
 
-def modules(package: str) -> dict[str, Path]:
-    found = {".".join(p.relative_to(ROOT).with_suffix("").parts): p for p in (ROOT / REST).rglob("*.py")}
-    return {name: path for name, path in found.items() if package_of(name) == package}
+def modules_of(package: str) -> dict[str, Path]:
+    module_paths = {
+        ".".join(p.relative_to(ROOT).with_suffix("").parts): p
+        for p in (ROOT / REMAINING_MODULES).rglob("*.py")
+    }
+    return {name: path for name, path in module_paths.items() if package_of(name) == package}
 
 
-def imported(path: Path) -> set[str]:
-    """Every module that a file names, in functions and under TYPE_CHECKING too."""
+def imported_modules(path: Path) -> set[str]:
+    """Returns every module that a file imports, also inside functions and under TYPE_CHECKING."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -42,17 +46,17 @@
     return found
 
 
-@pytest.mark.parametrize("package", MAY)
-def test_a_package_imports_only_what_it_may(package: str) -> None:
-    others = set(MAY) - {package} - MAY[package]
-    inside = modules(package)
-    assert inside
-    for path in inside.values():
-        assert not {name for name in imported(path) if package_of(name) in others}, path
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_package_imports_only_allowed_packages(package: str) -> None:
+    forbidden = set(ALLOWED_IMPORTS) - {package} - ALLOWED_IMPORTS[package]
+    modules = modules_of(package)
+    assert modules
+    for path in modules.values():
+        assert not {name for name in imported_modules(path) if package_of(name) in forbidden}, path
 
 
-@pytest.mark.parametrize("package", MAY)
-def test_the_modules_of_a_package_form_no_circle(package: str) -> None:
-    inside = modules(package)
-    graph = {name: imported(path) & set(inside) - {name} for name, path in inside.items()}
-    assert list(TopologicalSorter(graph).static_order())  # raises CycleError, which names the circle
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_package_has_no_import_cycle(package: str) -> None:
+    modules = modules_of(package)
+    graph = {name: imported_modules(path) & set(modules) - {name} for name, path in modules.items()}
+    assert list(TopologicalSorter(graph).static_order())  # a cycle raises CycleError, which names its modules
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests, played by a test run of its own in another folder."""
+"""How a test run treats KNOWN-RED.txt, shown by a separate pytest run in a temporary folder."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 import pytest
 
-HERE = Path(__file__).parent
-GOOD = "tests/test_it.py::test_red | a fault | issue 7\n"
+TESTS_FOLDER = Path(__file__).parent
+VALID_ENTRY = "tests/test_it.py::test_red | a fault | issue 7\n"
 
 
-def play(root: Path, listed: str | None) -> tuple[int, str]:
-    """Exit code and output of pytest over one green and two red tests."""
+def run_pytest(root: Path, known_red: str | None) -> tuple[int, str]:
+    """Returns exit code and output of pytest for one test that passes and one with two cases that fail."""
     (root / "tests").mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
-        shutil.copy(HERE / name, root / "tests" / name)
+        shutil.copy(TESTS_FOLDER / name, root / "tests" / name)
     (root / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (root / "tests" / "test_it.py").write_text(
         "import pytest\n"
@@ -25,43 +25,43 @@
         "@pytest.mark.parametrize('n', [1, 2])\n"
         "def test_red(n): raise AssertionError('red')\n"
     )
-    if listed is not None:
-        (root / "KNOWN-RED.txt").write_text(listed)
-    done = subprocess.run(
+    if known_red is not None:
+        (root / "KNOWN-RED.txt").write_text(known_red)
+    result = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
         cwd=root,
         capture_output=True,
         text=True,
         check=False,
     )
-    return done.returncode, done.stdout + done.stderr
+    return result.returncode, result.stdout + result.stderr
 
 
-def test_a_listed_test_is_passed_over_and_printed(tmp_path: Path) -> None:
-    code, out = play(tmp_path, GOOD)
+def test_listed_test_is_skipped_and_reported(tmp_path: Path) -> None:
+    code, out = run_pytest(tmp_path, VALID_ENTRY)
     assert code == 0 and "1 passed, 2 skipped" in out
     assert "KNOWN RED, passed over: tests/test_it.py::test_red (issue 7: a fault)" in out
 
 
-@pytest.mark.parametrize("listed", [None, ""])
-def test_without_the_list_red_is_red(tmp_path: Path, listed: str | None) -> None:
-    code, out = play(tmp_path, listed)
+@pytest.mark.parametrize("known_red", [None, ""])
+def test_failing_test_without_an_entry_fails(tmp_path: Path, known_red: str | None) -> None:
+    code, out = run_pytest(tmp_path, known_red)
     assert code == 1 and "2 failed, 1 passed" in out and "KNOWN RED" not in out
 
 
 @pytest.mark.parametrize(
-    ("listed", "words"),
+    ("known_red", "message"),
     [
-        (GOOD + "tests/test_it.py::test_gone | a fault | issue 7\n", "test_gone names no test"),
+        (VALID_ENTRY + "tests/test_it.py::test_gone | a fault | issue 7\n", "test_gone names no test"),
         ("".join(f"tests/test_it.py::test_{i} | a fault | issue 7\n" for i in range(4)), "3 at most"),
-        (GOOD + GOOD, "named twice"),
-        (GOOD + "\n", "line 2"),
+        (VALID_ENTRY + VALID_ENTRY, "named twice"),
+        (VALID_ENTRY + "\n", "line 2"),
         ("tests/test_it.py::test_red\n", "line 1"),
         ("tests/test_it.py::test_red | | issue 7\n", "line 1"),
         ("tests/test_it.py::test_red | a fault | soon\n", "line 1"),
         ("# tests/test_it.py::test_red | a fault | issue 7\n", "line 1"),
     ],
 )
-def test_a_list_that_is_not_in_order_fails(tmp_path: Path, listed: str, words: str) -> None:
-    code, out = play(tmp_path, listed)
-    assert code != 0 and words in out and "Traceback" not in out
+def test_invalid_list_is_an_error(tmp_path: Path, known_red: str, message: str) -> None:
+    code, out = run_pytest(tmp_path, known_red)
+    assert code != 0 and message in out and "Traceback" not in out
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README runs and prints what the README says."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 
-def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code
