--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -1,8 +1,8 @@
-"""How often the analysis of releases halts a good version, and how soon a bad one, over drawn releases.
+"""Measures how often the canary analysis halts a good version, and how soon a bad one, in random releases.
 
-From the root: .venv-lab/bin/python -B -m benchmarks.releases [COUNT]. Farms, load, machines' differences,
-spells in which one machine is slow, and the versions are drawn; the analysis sees counts of one second each,
-as it will live.
+From the root: .venv-lab/bin/python -B -m benchmarks.releases [COUNT]. Each release of a version runs
+on a random farm: its load, the differences between its machines, and a period in which some of them are slow.
+The analysis gets counts of one second each, as in production.
 """
 
 from __future__ import annotations
@@ -17,132 +17,156 @@
 
 from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, MemberSample
 
-FALSE_HALT, FAILURES, SLOWER = 0.01, 0.002, 1.1
-BAKE, MARK = 30, 0.75  # looks after each wave; the quantile of a member's answers that is its mark
-SHARES = (0.25, 0.5, 0.9)
-SPELLS, SPELL = 0.5, 0.15  # the part of the releases with a spell, and of the machines that it meets
-NORMAL = NormalDist()
+FALSE_HALT_RATE, TOLERATED_FAILURE_RATE, TOLERATED_SLOWDOWN = 0.01, 0.002, 1.1
+# Samples after each wave, and the quantile of a member's response times above which one counts as slow.
+SAMPLES_PER_WAVE, SLOW_QUANTILE = 30, 0.75
+WAVE_SHARES = (0.25, 0.5, 0.9)
+# How many of the releases have a period with slow machines, and how many of the machines are slow in it.
+SLOW_PERIOD_PROBABILITY, SLOW_MACHINE_SHARE = 0.5, 0.15
+STANDARD_NORMAL = NormalDist()
 VERSIONS = ("good", "a third slower", "2% errors", "falls over under load")
-Floats = npt.NDArray[np.float64]
+FloatArray = npt.NDArray[np.float64]
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a drawn release."""
+    """How a simulated release ended."""
 
-    halted: int = -1  # the look; -1: it went through
-    released: int = 0  # members that had the version then
-    harmed: float = 0.0  # requests that the version spoilt, as a part of all
-    why: str = ""
+    halted_at_sample: int = -1  # -1: completed
+    released_members: int = 0  # at the halt
+    harmed_share: float = 0.0  # requests that the version failed or slowed, as a fraction of all
+    reason: str = ""
 
 
 @dataclass(slots=True)
-class Farm:
-    """A drawn farm and its day."""
+class SimulatedFarm:
+    """A farm with random members, load and disturbances."""
 
     generator: np.random.Generator
-    rate: Floats  # answers a look and member
-    failing: Floats
-    width: Floats  # of the members' answer times, lognormal
-    usual: Floats  # slow answers as measured before the release
-    drift: Floats  # how much longer a member's answers take now than then, for reasons of its own
-    swing: float
-    spell: tuple[int, int]  # looks in which some machines are slow, whatever they run
-    slowed: Floats  # how many times longer each then takes
+    responses_per_sample: FloatArray  # for each member
+    failure_rate: FloatArray
+    latency_sigma: FloatArray  # of each member's response times, which are lognormal
+    baseline_slow_share: FloatArray  # as measured before the release
+    latency_drift: FloatArray  # change of response times since then that the version didn't cause
+    load_amplitude: float
+    slow_period: tuple[int, int]  # samples in which some machines are slow with any version
+    slow_period_factor: FloatArray  # for each member
 
     @classmethod
-    def draw(cls, generator: np.random.Generator) -> Farm:
-        n, begin = int(generator.integers(6, 25)), int(generator.integers(0, BAKE * 4))
-        part = SPELL if generator.random() < SPELLS else 0.0
+    def draw(cls, generator: np.random.Generator) -> SimulatedFarm:
+        member_count, slow_period_start = (
+            int(generator.integers(6, 25)),
+            int(generator.integers(0, SAMPLES_PER_WAVE * 4)),
+        )
+        affected_share = SLOW_MACHINE_SHARE if generator.random() < SLOW_PERIOD_PROBABILITY else 0.0
         return cls(
             generator,
-            rate=generator.uniform(15, 60) * generator.uniform(0.6, 1.6, n),
-            failing=generator.uniform(0, 0.01) * generator.uniform(0.7, 1.3, n),
-            width=generator.uniform(0.3, 0.7, n),
-            usual=np.clip(generator.normal(1 - MARK, 0.01, n), 0.1, 0.4),
-            drift=np.exp(generator.normal(0, 0.02, n)),
-            swing=generator.uniform(0, 0.4),
-            spell=(begin, begin + int(generator.integers(10, 36))),
-            slowed=np.where(generator.random(n) < part, generator.uniform(2, 6), 1.0),
+            responses_per_sample=generator.uniform(15, 60) * generator.uniform(0.6, 1.6, member_count),
+            failure_rate=generator.uniform(0, 0.01) * generator.uniform(0.7, 1.3, member_count),
+            latency_sigma=generator.uniform(0.3, 0.7, member_count),
+            baseline_slow_share=np.clip(generator.normal(1 - SLOW_QUANTILE, 0.01, member_count), 0.1, 0.4),
+            latency_drift=np.exp(generator.normal(0, 0.02, member_count)),
+            load_amplitude=generator.uniform(0, 0.4),
+            slow_period=(slow_period_start, slow_period_start + int(generator.integers(10, 36))),
+            slow_period_factor=np.where(
+                generator.random(member_count) < affected_share, generator.uniform(2, 6), 1.0
+            ),
         )
 
-    def look(
-        self, at: int, released: npt.NDArray[np.bool_], version: str
+    def draw_samples(
+        self, sample_number: int, has_version: npt.NDArray[np.bool_], version: str
     ) -> tuple[list[MemberSample], float]:
-        """What a second shows, and how many answers the version spoilt."""
-        generator, n = self.generator, len(self.rate)
-        load = 1 + self.swing * np.sin(at / 25)
-        answers = generator.poisson(self.rate * load)
-        longer = load**0.5 * self.drift * np.exp(generator.normal(0, 0.05, n))
-        if self.spell[0] <= at < self.spell[1]:
-            longer = longer * self.slowed
-        failing = self.failing.copy()
+        """Returns the counts of one second, and how many responses the version failed or slowed."""
+        generator, member_count = self.generator, len(self.responses_per_sample)
+        load = 1 + self.load_amplitude * np.sin(sample_number / 25)
+        responses = generator.poisson(self.responses_per_sample * load)
+        latency_factor = load**0.5 * self.latency_drift * np.exp(generator.normal(0, 0.05, member_count))
+        if self.slow_period[0] <= sample_number < self.slow_period[1]:
+            latency_factor = latency_factor * self.slow_period_factor
+        failure_rate = self.failure_rate.copy()
         if version == "a third slower":
-            longer = np.where(released, longer * 4 / 3, longer)
+            latency_factor = np.where(has_version, latency_factor * 4 / 3, latency_factor)
         elif version == "2% errors":
-            failing = np.where(released, failing + 0.02, failing)
+            failure_rate = np.where(has_version, failure_rate + 0.02, failure_rate)
         elif version == "falls over under load" and load > 1:
-            failing = np.where(released, failing + 0.2, failing)
-        marks = np.where(released, SLOWER, 1.0)
-        slow_part = above(np.log(marks / longer) / self.width)
-        failed, slow = generator.binomial(answers, failing), generator.binomial(answers, slow_part)
-        spoilt = float(np.sum(answers * released)) if version == "a third slower" else 0.0
-        spoilt += float(np.sum(answers * (failing - self.failing)))
+            failure_rate = np.where(has_version, failure_rate + 0.2, failure_rate)
+        thresholds = np.where(has_version, TOLERATED_SLOWDOWN, 1.0)
+        slow_share = share_above_threshold(np.log(thresholds / latency_factor) / self.latency_sigma)
+        failed, slow = generator.binomial(responses, failure_rate), generator.binomial(responses, slow_share)
+        harmed = float(np.sum(responses * has_version)) if version == "a third slower" else 0.0
+        harmed += float(np.sum(responses * (failure_rate - self.failure_rate)))
         columns = zip(
-            released.tolist(), answers.tolist(), failed.tolist(), slow.tolist(), self.usual, strict=True
+            has_version.tolist(),
+            responses.tolist(),
+            failed.tolist(),
+            slow.tolist(),
+            self.baseline_slow_share,
+            strict=True,
         )
-        return [MemberSample(str(i), *line) for i, line in enumerate(columns)], spoilt
-
-
-def above(distance: Floats) -> Floats:
-    """The part of lognormal answers above their mark, moved by so many widths of its logarithm."""
-    start = NORMAL.inv_cdf(MARK)
-    return np.array([1 - NORMAL.cdf(start + moved) for moved in distance])
-
-
-def release(seed: int, version: str) -> Outcome:
-    """One drawn release: a canary, then shares, each watched for a while."""
-    farm = Farm.draw(np.random.default_rng([seed, VERSIONS.index(version)]))
-    n, analysis, outcome = len(farm.rate), CanaryAnalysis(FALSE_HALT, FAILURES), Outcome()
-    order = farm.generator.permutation(n)
-    sizes = [1] + [max(1, round(share * n)) for share in SHARES]
-    answered = 0.0
-    for look in range(BAKE * (len(sizes) + 1)):  # the last stretch runs on with the most released
-        released = np.zeros(n, dtype=bool)
-        released[order[: sizes[min(look // BAKE, len(sizes) - 1)]]] = True
-        samples, spoilt = farm.look(look, released, version)
-        answered += sum(line.responses for line in samples)
-        outcome.harmed += spoilt
+        return [MemberSample(str(i), *counts) for i, counts in enumerate(columns)], harmed
+
+
+def share_above_threshold(distance: FloatArray) -> FloatArray:
+    """Returns the share of responses above the threshold shifted by `distance` standard deviations."""
+    threshold = STANDARD_NORMAL.inv_cdf(SLOW_QUANTILE)
+    return np.array([1 - STANDARD_NORMAL.cdf(threshold + shift) for shift in distance])
+
+
+def simulate_release(seed: int, version: str) -> Outcome:
+    """Simulates one release: a canary, then larger waves, each followed by a period of analysis."""
+    farm = SimulatedFarm.draw(np.random.default_rng([seed, VERSIONS.index(version)]))
+    member_count, analysis, outcome = (
+        len(farm.responses_per_sample),
+        CanaryAnalysis(FALSE_HALT_RATE, TOLERATED_FAILURE_RATE),
+        Outcome(),
+    )
+    order = farm.generator.permutation(member_count)
+    wave_sizes = [1] + [max(1, round(share * member_count)) for share in WAVE_SHARES]
+    response_count = 0.0
+    for sample_number in range(SAMPLES_PER_WAVE * (len(wave_sizes) + 1)):  # the last wave bakes twice
+        has_version = np.zeros(member_count, dtype=bool)
+        has_version[order[: wave_sizes[min(sample_number // SAMPLES_PER_WAVE, len(wave_sizes) - 1)]]] = True
+        samples, harmed = farm.draw_samples(sample_number, has_version, version)
+        response_count += sum(sample.responses for sample in samples)
+        outcome.harmed_share += harmed
         assessment = analysis.update(samples)
         if assessment.finding is Finding.BAD:
-            outcome.halted, outcome.released, outcome.why = look, int(released.sum()), assessment.reason
+            outcome.halted_at_sample, outcome.released_members, outcome.reason = (
+                sample_number,
+                int(has_version.sum()),
+                assessment.reason,
+            )
             break
-    whole = float(farm.rate.sum()) * BAKE * (len(sizes) + 1)
-    outcome.harmed /= whole
+    expected_responses = float(farm.responses_per_sample.sum()) * SAMPLES_PER_WAVE * (len(wave_sizes) + 1)
+    outcome.harmed_share /= expected_responses
     return outcome
 
 
-def summary(version: str, outcomes: list[Outcome]) -> str:
-    halted = [outcome for outcome in outcomes if outcome.halted >= 0]
+def format_summary(version: str, outcomes: list[Outcome]) -> str:
+    halted = [outcome for outcome in outcomes if outcome.halted_at_sample >= 0]
     line = f"{version}: {len(halted)} of {len(outcomes)} halted"
     if halted and version != "good":
-        looks, out = (np.array([getattr(o, name) for o in halted]) for name in ("halted", "released"))
-        harmed = np.array([outcome.harmed for outcome in outcomes])
+        halt_samples, halt_members = (
+            np.array([getattr(o, name) for o in halted]) for name in ("halted_at_sample", "released_members")
+        )
+        harmed_shares = np.array([outcome.harmed_share for outcome in outcomes])
         line += (
-            f", after {np.median(looks):.0f} s (95 of 100 within {np.percentile(looks, 95):.0f}), "
+            f", after {np.median(halt_samples):.0f} s "
+            f"(95 of 100 within {np.percentile(halt_samples, 95):.0f}), "
             f"with the canary alone "
-            f"{np.mean(out == 1):.0%}; harmed {np.median(harmed):.3%} of the release's requests, "
-            f"95 of 100 under {np.percentile(harmed, 95):.3%}"
+            f"{np.mean(halt_members == 1):.0%}; "
+            f"harmed {np.median(harmed_shares):.3%} of the release's requests, "
+            f"95 of 100 under {np.percentile(harmed_shares, 95):.3%}"
         )
     return line
 
 
 def main() -> None:
-    count = int(sys.argv[1]) if len(sys.argv) > 1 else 1000
+    release_count = int(sys.argv[1]) if len(sys.argv) > 1 else 1000
     for version in VERSIONS:
-        begun = time.monotonic()
-        outcomes = [release(seed, version) for seed in range(count)]
-        print(f"{summary(version, outcomes)}; {time.monotonic() - begun:.0f} s", flush=True)
+        started_s = time.monotonic()
+        outcomes = [simulate_release(seed, version) for seed in range(release_count)]
+        print(f"{format_summary(version, outcomes)}; {time.monotonic() - started_s:.0f} s", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -22,16 +22,16 @@
 
 @pytest.mark.parametrize("version", releases.VERSIONS)
 def test_good_versions_go_through_and_bad_ones_are_halted_at_the_canary(version: str) -> None:
-    outcomes = [releases.release(seed, version) for seed in range(COUNT)]
-    halted = [outcome for outcome in outcomes if outcome.halted >= 0]
+    outcomes = [releases.simulate_release(seed, version) for seed in range(COUNT)]
+    halted = [outcome for outcome in outcomes if outcome.halted_at_sample >= 0]
     if version == "good":
         assert len(halted) <= 4  # the rate is 1 in 100; 5 of 120 would come once in 140 times at that rate
         return
     assert len(halted) >= 0.97 * COUNT
     assert (
-        sorted(outcome.released for outcome in halted)[len(halted) // 2] == 1
+        sorted(outcome.released_members for outcome in halted)[len(halted) // 2] == 1
     )  # the median: the canary alone
-    assert sorted(outcome.harmed for outcome in outcomes)[COUNT // 2] < 1 / 200
+    assert sorted(outcome.harmed_share for outcome in outcomes)[COUNT // 2] < 1 / 200
 
 
 def test_load_that_slows_all_members_is_tolerated_and_a_slower_version_is_not() -> None:
