--- a/benchmarks/release_rig.py
+++ b/benchmarks/release_rig.py
@@ -1,8 +1,8 @@
-"""Releases of a good version on the rig, under load: what they cost, and whether a rule breaks.
+"""Measures what releases of a good version cost under load, and whether they break a rule.
 
 From the root: .venv-lab/bin/python -B -m benchmarks.release_rig [COUNT [PAIRS [AT_ONCE]]]. Each seed is
-played with a release, the first PAIRS of them without one too; the worth served in the release's seconds is
-set beside the same seconds without. Needs an idle machine.
+played with a release, and the first PAIRS of them also without one. The worth served until the end of the
+release is compared with the worth served in the same seconds without it. Needs an idle machine.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from flaxstep.faultbench.result import Result, judge_play
 from flaxstep.simulator.scenario import read_scenario
 
-LENGTH = 60  # s at most
-END_TIME = 90.0  # s for a controller to end
-FARM = f"""
+MAX_PLAY_LENGTH_S = 60
+CONTROLLER_TIMEOUT_S = 90.0
+SCENARIO = f"""
 name = "release"
-length_s = {LENGTH}
+length_s = {MAX_PLAY_LENGTH_S}
 fleet = {{ nodes = 3, servers = 6, zones = 3, cell_size = 2, server_skew = 0 }}
 load = {{ of_capacity = [0.4, 0.55], swing = 0.2 }}
 choke = {{ share = 0 }}
@@ -83,84 +83,105 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """A play: how its release ended, when (s), and what it was judged to be."""
+class PlayResult:
+    """Exit code and end time of the release of one play, and the result of the play."""
 
-    code: int
-    ended: float
+    exit_code: int
+    ended_at_s: float
     result: Result
 
 
-async def play(seed: int, folder: Path, release: bool) -> Played:
-    """One play of a seed, with a release or without."""
+async def run_play(seed: int, folder: Path, with_release: bool) -> PlayResult:
+    """Plays a seed, with a release or without."""
     folder.mkdir(parents=True)
     path = folder / "scenario.toml"
-    path.write_text(FARM)
+    path.write_text(SCENARIO)
     scenario = read_scenario(path)
-    code, ended = 0, float(LENGTH)
-    async with Farm(scenario, path, seed, folder / "play") as stage:
-        await stage.open()
-        await stage.begin()
-        if release:
-            staff = OperatorCommands(stage)
-            await staff.open()
-            (folder / "plan.toml").write_text(PLAN + staff.commands("servers"))
-            log = folder / "controller.log"
-            child = await run_controller(stage, folder / "plan.toml", staff.farm_file(), log)
-            async with asyncio.timeout(END_TIME):
-                code = await child.process.wait()
-            staff.close()
-            staff.note_calls()
-            ended = time.monotonic() - stage.t0
-            await stage.children["clients"].call("stop")
-        while await stage.children["clients"].call("left"):
+    exit_code, ended_at_s = 0, float(MAX_PLAY_LENGTH_S)
+    async with Farm(scenario, path, seed, folder / "play") as farm:
+        await farm.open()
+        await farm.begin()
+        if with_release:
+            operators = OperatorCommands(farm)
+            await operators.open()
+            (folder / "plan.toml").write_text(PLAN + operators.commands("servers"))
+            log_path = folder / "controller.log"
+            controller = await run_controller(farm, folder / "plan.toml", operators.farm_file(), log_path)
+            async with asyncio.timeout(CONTROLLER_TIMEOUT_S):
+                exit_code = await controller.process.wait()
+            operators.close()
+            operators.note_calls()
+            ended_at_s = time.monotonic() - farm.t0
+            await farm.children["clients"].call("stop")
+        while await farm.children["clients"].call("left"):
             await asyncio.sleep(0.1)
-    return Played(code, ended, judge_play(scenario, seed, folder / "play"))
+    return PlayResult(exit_code, ended_at_s, judge_play(scenario, seed, folder / "play"))
 
 
-def worth(result: Result, until: float) -> float:
-    """The part of the worth asked for in the first seconds that was served."""
-    seconds = result.by_second[: int(until)]
+def share_of_worth_served(result: Result, until_s: float) -> float:
+    """Returns how much of the worth requested in the first `until_s` seconds was served."""
+    seconds = result.by_second[: int(until_s)]
     return sum(second.earned for second in seconds) / sum(second.asked for second in seconds)
 
 
-async def pair(seed: int, folder: Path, both: bool, room: asyncio.Semaphore) -> tuple[Played, Played | None]:
-    async with room:
-        release = await play(seed, folder / f"{seed}-with", True)
-        return release, await play(seed, folder / f"{seed}-without", False) if both else None
-
-
-async def pairs(count: int, both: int, at_once: int, folder: Path) -> list[tuple[Played, Played | None]]:
-    room = asyncio.Semaphore(at_once)
-    return await asyncio.gather(*(pair(seed, folder, seed < both, room) for seed in range(count)))
-
-
-def summary(found: list[tuple[Played, Played | None]]) -> Iterator[str]:
-    releases = [release for release, _ in found]
-    late = sum(bool(played.result.distorted) for line in found for played in line if played is not None)
-    done = sum(release.code == 0 for release in releases)
-    took = statistics.median(release.ended for release in releases)
-    yield f"{len(found)} releases, {done} done, after {took:.0f} s; plays too late to conclude from: {late}"
-    broken = [breach for release in releases for breach in release.result.breaches]
-    yield f"rules broken with a release {len(broken)}, without {sum(b.result.broken for _, b in found if b)}"
-    yield from (f"  {breach}" for breach in broken[:10])
-    parts = [
-        worth(a.result, a.ended) / worth(b.result, a.ended)
-        for a, b in found
-        if b is not None and a.code == 0 and not a.result.distorted and not b.result.distorted
+async def play_pair(
+    seed: int, folder: Path, with_baseline: bool, semaphore: asyncio.Semaphore
+) -> tuple[PlayResult, PlayResult | None]:
+    async with semaphore:
+        release = await run_play(seed, folder / f"{seed}-with", True)
+        return release, await run_play(seed, folder / f"{seed}-without", False) if with_baseline else None
+
+
+async def play_pairs(
+    release_count: int, baseline_count: int, at_once: int, folder: Path
+) -> list[tuple[PlayResult, PlayResult | None]]:
+    semaphore = asyncio.Semaphore(at_once)
+    return await asyncio.gather(
+        *(play_pair(seed, folder, seed < baseline_count, semaphore) for seed in range(release_count))
+    )
+
+
+def format_summary(results: list[tuple[PlayResult, PlayResult | None]]) -> Iterator[str]:
+    releases = [release for release, _ in results]
+    distorted_count = sum(
+        bool(played.result.distorted) for pair in results for played in pair if played is not None
+    )
+    completed_count = sum(release.exit_code == 0 for release in releases)
+    median_end_s = statistics.median(release.ended_at_s for release in releases)
+    yield (
+        f"{len(results)} releases, {completed_count} done, after {median_end_s:.0f} s; "
+        f"plays too late to conclude from: {distorted_count}"
+    )
+    breaches = [breach for release in releases for breach in release.result.breaches]
+    yield (
+        f"rules broken with a release {len(breaches)}, "
+        f"without {sum(baseline.result.broken for _, baseline in results if baseline)}"
+    )
+    yield from (f"  {breach}" for breach in breaches[:10])
+    worth_ratios = [
+        share_of_worth_served(with_release.result, with_release.ended_at_s)
+        / share_of_worth_served(baseline.result, with_release.ended_at_s)
+        for with_release, baseline in results
+        if baseline is not None
+        and with_release.exit_code == 0
+        and not with_release.result.distorted
+        and not baseline.result.distorted
     ]
-    if len(parts) > 1:
-        mean, deviation = statistics.mean(parts), statistics.stdev(parts)
-        yield f"worth beside no release, {len(parts)} pairs: mean {mean:.4f}, deviation {deviation:.4f}, "
-        yield f"least {min(parts):.4f}"
+    if len(worth_ratios) > 1:
+        mean, deviation = statistics.mean(worth_ratios), statistics.stdev(worth_ratios)
+        yield (
+            f"worth beside no release, {len(worth_ratios)} pairs: mean {mean:.4f}, "
+            f"deviation {deviation:.4f}, "
+        )
+        yield f"least {min(worth_ratios):.4f}"
 
 
 def main() -> None:
-    count, both, at_once = (*map(int, sys.argv[1:4]), *(100, 24, 4)[len(sys.argv) - 1 :])
+    release_count, baseline_count, at_once = (*map(int, sys.argv[1:4]), *(100, 24, 4)[len(sys.argv) - 1 :])
     build()
     with tempfile.TemporaryDirectory() as folder:
-        found = asyncio.run(pairs(count, both, at_once, Path(folder)))
-    print("\n".join(summary(found)))
+        results = asyncio.run(play_pairs(release_count, baseline_count, at_once, Path(folder)))
+    print("\n".join(format_summary(results)))
 
 
 if __name__ == "__main__":
--- a/flaxstep/__init__.py
+++ b/flaxstep/__init__.py
@@ -1,1 +1,1 @@
-"""A load-balancing HTTP proxy (proxy, with its decisions in routing) and the tools round it."""
+"""A load-balancing HTTP proxy (proxy, with its routing policy in routing) and its test and release tools."""
--- a/flaxstep/__main__.py
+++ b/flaxstep/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the command line."""
+"""Runs the flaxstep command line."""
 
 from flaxstep.cli import main
 
