--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -23,8 +23,8 @@
 
 def test_no_admin_port_without_address() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            assert stand.node.door is None
+        async with run_node(await FakeServer().start()) as fixture:
+            assert fixture.node.door is None
 
     run(test())
 
@@ -51,13 +51,13 @@
 @pytest.mark.parametrize(("data", "status"), INVALID_CALLS, ids=range(len(INVALID_CALLS)))
 def test_invalid_call_is_rejected(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
-            caller = await stand.connect_admin()
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as fixture:
+            caller = await fixture.connect_admin()
             received_status, head, body = await caller.send_request(data)
             assert (received_status, header_value(head, b"Connection")) == (status, b"close")
             assert body.endswith(b"\n") and b"Traceback" not in body
             assert await caller.read_until_close() == b""
-            assert await stand.call_admin("GET", "health") == (200, "ready\n")
+            assert await fixture.call_admin("GET", "health") == (200, "ready\n")
 
     run(test())
 
@@ -77,11 +77,11 @@
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.3)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
-            stalled = [await stand.connect_admin() for _ in range(3 * admin.MAX_CONNECTIONS)]
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as fixture:
+            stalled = [await fixture.connect_admin() for _ in range(3 * admin.MAX_CONNECTIONS)]
             for caller in stalled[::2]:
                 caller.writer.write(b"POST /admin/quiesce HTTP/1.1\r\nContent-Le")
-            assert await stand.call_admin("GET", "health") == (200, "ready\n")
+            assert await fixture.call_admin("GET", "health") == (200, "ready\n")
             for caller in stalled:
                 assert (await caller.read_response())[0] == 408
                 assert await caller.read_until_close() == b""
@@ -91,24 +91,24 @@
 
 def test_call_may_arrive_in_parts_and_only_first_is_served() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
-            caller = await stand.connect_admin()
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as fixture:
+            caller = await fixture.connect_admin()
             data = call(b"GET /admin/health HTTP/1.1") + call(b"POST /admin/quiesce HTTP/1.1")
             for i in range(len(data)):
                 caller.writer.write(data[i : i + 1])
                 await asyncio.sleep(0)
             assert (await caller.read_response())[0] == 200
             assert await caller.read_until_close() == b""
-            assert not stand.node.quiesced
+            assert not fixture.node.quiesced
 
     run(test())
 
 
 def test_admin_health_fails_without_list() -> None:
     async def test() -> None:
-        async with run_node(admin=ADMIN_ADDRESS, known_list={}) as stand:
-            stand.node.healthy = False  # the state before the first list
-            assert (await stand.call_admin("GET", "health"))[0] == 503
+        async with run_node(admin=ADMIN_ADDRESS, known_list={}) as fixture:
+            fixture.node.healthy = False  # the state before the first list
+            assert (await fixture.call_admin("GET", "health"))[0] == 503
 
     run(test())
 
@@ -117,39 +117,39 @@
     monkeypatch.setattr(client_connections, "DRAIN_GRACE_FOR_NEW_S", 0.1)
     release = asyncio.Event()
 
-    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await respond_ok(peer, head, writer)
+        await respond_ok(server, head, writer)
 
     async def test() -> None:
-        peer = await FakeServer(delayed_response).start()
-        async with run_node(peer, admin=ADMIN_ADDRESS) as stand:
-            idle, pending = await stand.connect_client(), await stand.connect_client()
+        server = await FakeServer(delayed_response).start()
+        async with run_node(server, admin=ADMIN_ADDRESS) as fixture:
+            idle, pending = await fixture.connect_client(), await fixture.connect_client()
             release.set()
             assert (await idle.send_request(build_request()))[0] == 200
             release.clear()
             pending.writer.write(build_request())
-            await wait_until(lambda: len(stand.node.held) == 1)
-            assert (await stand.call_admin("POST", "quiesce"))[0] == 200
-            assert (await stand.call_admin("POST", "quiesce"))[0] == 200
+            await wait_until(lambda: len(fixture.node.held) == 1)
+            assert (await fixture.call_admin("POST", "quiesce"))[0] == 200
+            assert (await fixture.call_admin("POST", "quiesce"))[0] == 200
             assert await idle.read_until_close() == b""  # closed without a request on it
-            newcomer = await stand.connect_client()  # the client has not switched to another node yet
+            newcomer = await fixture.connect_client()  # the client has not switched to another node yet
             newcomer.writer.write(build_request())
-            await wait_until(lambda: len(stand.node.held) == 2)
-            silent = await stand.connect_client()
-            assert (await (await stand.connect_client()).send_request(HEALTH))[0] == 503
-            assert (await stand.call_admin("GET", "health"))[0] == 503
+            await wait_until(lambda: len(fixture.node.held) == 2)
+            silent = await fixture.connect_client()
+            assert (await (await fixture.connect_client()).send_request(HEALTH))[0] == 503
+            assert (await fixture.call_admin("GET", "health"))[0] == 503
             assert await silent.read_until_close() == b""  # a connection without a request is closed
             release.set()
             for waiting in (pending, newcomer):
                 status, head, _ = await waiting.read_response()
                 assert (status, header_value(head, b"Connection")) == (200, b"close")
                 assert await waiting.read_until_close() == b""
-            await wait_until(lambda: not stand.node.listener.connections)
-            assert (await stand.call_admin("POST", "resume"))[0] == 200
-            assert (await stand.call_admin("POST", "resume"))[0] == 200
-            assert await stand.call_admin("GET", "health") == (200, "ready\n")
-            back = await stand.connect_client()
+            await wait_until(lambda: not fixture.node.listener.connections)
+            assert (await fixture.call_admin("POST", "resume"))[0] == 200
+            assert (await fixture.call_admin("POST", "resume"))[0] == 200
+            assert await fixture.call_admin("GET", "health") == (200, "ready\n")
+            back = await fixture.connect_client()
             assert (await back.send_request(HEALTH))[0] == 200
             assert header_value((await back.send_request(build_request()))[1], b"Connection") is None
 
@@ -160,12 +160,12 @@
     monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as stand:
-            assert (await stand.call_admin("POST", "quiesce"))[0] == 200
-            drain = asyncio.ensure_future(stand.node.drain())
-            await wait_until(lambda: stand.node.stopping)
-            assert (await stand.call_admin("POST", "resume"))[0] == 409
-            assert (await stand.call_admin("GET", "health"))[0] == 503
+        async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as fixture:
+            assert (await fixture.call_admin("POST", "quiesce"))[0] == 200
+            drain = asyncio.ensure_future(fixture.node.drain())
+            await wait_until(lambda: fixture.node.stopping)
+            assert (await fixture.call_admin("POST", "resume"))[0] == 409
+            assert (await fixture.call_admin("GET", "health"))[0] == 503
             await asyncio.wait_for(drain, TIMEOUT_S)
 
     run(test())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -61,10 +61,10 @@
         self.ended = asyncio.Event()
 
     async def start(self) -> FakeServer:
-        peer = FakeServer()
-        peer.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-        peer.port = peer.server.sockets[0].getsockname()[1]
-        return peer
+        server = FakeServer()
+        server.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        server.port = server.server.sockets[0].getsockname()[1]
+        return server
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -94,18 +94,18 @@
     response: bytes = OK_RESPONSE, **changes: object
 ) -> AsyncIterator[tuple[NodeFixture, ControlledServer]]:
     server = ControlledServer(response)
-    async with run_node(await server.start(), **changes) as stand:
-        yield stand, server
+    async with run_node(await server.start(), **changes) as fixture:
+        yield fixture, server
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 def test_large_request_body_is_forwarded_unchanged_while_it_arrives(framing: str) -> None:
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
-            client = await stand.connect_client()
+        async with running_controlled_server() as (fixture, server):
+            client = await fixture.connect_client()
             data = upload_request(LARGE_BODY, framing)
             client.writer.write(data[: len(data) // 2])
-            event = await stand.next_event(Request)
+            event = await fixture.next_event(Request)
             assert event.uploading
             head = await asyncio.wait_for(server.head, TIMEOUT_S)
             assert (header_value(head, b"Content-Length") is None) == (framing == "chunked")
@@ -113,10 +113,10 @@
             client.writer.write(data[len(data) // 2 :])
             assert (await client.read_response())[2] == b"done"
             assert bytes(server.body) == LARGE_BODY
-            due = (await stand.next_event(Uploaded)).due  # the timeout starts at the last byte
+            due = (await fixture.next_event(Uploaded)).due  # the timeout starts at the last byte
             assert 0 < due - now_ms() < 8000.0
-            assert (await stand.next_outcome()).result == Result.OK
-            assert stand.node.body_budget.body_count == 0 and not stand.node.held
+            assert (await fixture.next_outcome()).result == Result.OK
+            assert fixture.node.body_budget.body_count == 0 and not fixture.node.held
             assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[
                 0
             ] == 200  # the connection stays open
@@ -151,24 +151,24 @@
 @pytest.mark.parametrize("framing", RESPONSES)
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 def test_large_response_is_forwarded_unchanged(framing: str, version: bytes) -> None:
-    async def end_after(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def end_after(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(RESPONSES[framing])
         if framing == "close":
             writer.close()
 
     async def test() -> None:
-        async with run_node(await FakeServer(end_after).start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(end_after).start()) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request().replace(b"HTTP/1.1", version))
             head, body = await read_response(client)
             assert body == LARGE_BODY and header_value(head, b"Content-Type") == b"x/y"
-            assert isinstance(await stand.next_event(Began), Began)
-            outcome = await stand.next_outcome()
+            assert isinstance(await fixture.next_event(Began), Began)
+            outcome = await fixture.next_outcome()
             assert (outcome.result, outcome.over) == (Result.OK, True)
             assert (
-                stand.node.body_budget.body_count == 0
-                and not stand.node.held
-                and not stand.node.pool.attempts
+                fixture.node.body_budget.body_count == 0
+                and not fixture.node.held
+                and not fixture.node.pool.attempts
             )
             if version == b"HTTP/1.1":
                 assert header_value(head, b"Connection") is None
@@ -181,16 +181,16 @@
 
 
 def test_short_response_ended_by_close_is_complete() -> None:
-    async def close(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def close(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\ndone")
         writer.close()
 
     async def test() -> None:
-        peer = await FakeServer(close).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(close).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[2] == b"done"
-            assert (await stand.next_outcome()).result == Result.OK
+            assert (await fixture.next_outcome()).result == Result.OK
 
     run(test())
 
@@ -198,7 +198,7 @@
 def test_first_response_bytes_are_not_delayed_until_the_end() -> None:
     may_finish = asyncio.Event()
 
-    async def respond_in_two_parts(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_in_two_parts(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if b"/chunked" in head:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
             await may_finish.wait()
@@ -209,10 +209,10 @@
             writer.write(bytes(70000 - 5))
 
     async def test() -> None:
-        async with run_node(await FakeServer(respond_in_two_parts).start()) as stand:
+        async with run_node(await FakeServer(respond_in_two_parts).start()) as fixture:
             for key in ("chunked", "length"):
                 may_finish.clear()
-                client = await stand.connect_client()
+                client = await fixture.connect_client()
                 client.writer.write(build_request(key=key))
                 async with asyncio.timeout(TIMEOUT_S):
                     await client.reader.readuntil(b"first")
@@ -227,24 +227,24 @@
 @pytest.mark.parametrize("framing", RESPONSES)
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 def test_client_sees_truncated_response(framing: str, version: bytes) -> None:
-    async def reset_half_way(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def reset_half_way(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(RESPONSES[framing][: len(LARGE_BODY) // 2])
         await asyncio.sleep(0.1)  # let it be sent: the reset discards what is still unsent
         reset_connection(cast(asyncio.Transport, writer.transport))
 
     async def test() -> None:
-        async with run_node(await FakeServer(reset_half_way).start(), admin=ADMIN_ADDRESS) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(reset_half_way).start(), admin=ADMIN_ADDRESS) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request("book").replace(b"HTTP/1.1", version))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 assert len((await read_response(client))[1]) < 0  # not reached: it raises
-            statistics = await stats(stand)
+            statistics = await stats(fixture)
             assert (
                 statistics["results.book.aborted"],
                 statistics["outstanding"],
                 statistics["forwards"],
             ) == (1, 0, 1)
-            assert not stand.node.held and stand.node.body_budget.body_count == 0
+            assert not fixture.node.held and fixture.node.body_budget.body_count == 0
 
     run(test())
 
@@ -252,7 +252,7 @@
 def test_slow_client_pauses_its_server_and_node_buffers_little() -> None:
     written = [0]
 
-    async def stream_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
         for _ in range(32 << 20 >> 16):
             writer.write(bytes(65536))
@@ -260,8 +260,8 @@
             await writer.drain()
 
     async def test() -> None:
-        async with run_node(await FakeServer(stream_response).start(), admin=ADMIN_ADDRESS) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(stream_response).start(), admin=ADMIN_ADDRESS) as fixture:
+            client = await fixture.connect_client()
             client.reader._limit = 1  # type: ignore[attr-defined]  # read little
             client.writer.write(build_request())
             async with asyncio.timeout(TIMEOUT_S):
@@ -271,27 +271,27 @@
                 before = written[0]
                 await asyncio.sleep(0.2)
             assert before < 32 << 20
-            (pending,) = stand.node.held.values()
+            (pending,) = fixture.node.held.values()
             assert pending.client.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES
-            assert (await stats(stand))["outstanding"] == 1
+            assert (await stats(fixture))["outstanding"] == 1
             client.reader._limit = 1 << 20  # type: ignore[attr-defined]
             left = 32 << 20
             async with asyncio.timeout(TIMEOUT_S):
                 while left > 0:
                     left -= len(await client.reader.read(1 << 20))
-                    if not stand.node.held:
+                    if not fixture.node.held:
                         break
-            await wait_until(lambda: not stand.node.held)
-            assert (await stats(stand))["results.find.succeeded"] == 1
+            await wait_until(lambda: not fixture.node.held)
+            assert (await stats(fixture))["results.find.succeeded"] == 1
 
     run(test())
 
 
 def test_slow_server_pauses_its_client_and_node_buffers_little() -> None:
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
+        async with running_controlled_server() as (fixture, server):
             server.may_read.clear()
-            client = await stand.connect_client()
+            client = await fixture.connect_client()
             client.writer.write(upload_request(bytes(30 << 20)))
             await asyncio.wait_for(server.head, TIMEOUT_S)
             before = -1
@@ -299,7 +299,7 @@
                 before = client.writer.transport.get_write_buffer_size()
                 await asyncio.sleep(0.2)
             assert before > 10 << 20  # still unsent at the client
-            (connection,) = stand.node.pool.connections
+            (connection,) = fixture.node.pool.connections
             assert connection.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES + 100
             server.may_read.set()
             assert (await client.read_response())[0] == 200
@@ -314,32 +314,32 @@
     monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
 
     async def test() -> None:
-        async with running_controlled_server(max_attempts=3) as (stand, server):
+        async with running_controlled_server(max_attempts=3) as (fixture, server):
             server.may_read.clear()
-            client = await stand.connect_client()
+            client = await fixture.connect_client()
             client.writer.write(upload_request(bytes(30 << 20)))
             status, head, _ = await client.read_response()  # although the body is incomplete
             assert status == 503 and header_value(head, b"Retry-After")
-            outcome = await stand.next_outcome()
+            outcome = await fixture.next_outcome()
             assert (outcome.result, outcome.spent) == (Result.UNREACHABLE, True)
             # The node reads and discards the rest.
             await wait_until(lambda: client.writer.transport.get_write_buffer_size() == 0)
             assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
-            assert stand.node.body_budget.body_count == 0
+            assert fixture.node.body_budget.body_count == 0
 
     run(test())
 
 
 def test_server_that_closes_during_upload_is_unreachable() -> None:
     async def test() -> None:
-        async with running_controlled_server(max_attempts=3) as (stand, server):
-            client = await stand.connect_client()
+        async with running_controlled_server(max_attempts=3) as (fixture, server):
+            client = await fixture.connect_client()
             data = upload_request(LARGE_BODY)
             client.writer.write(data[:-10])
             await wait_until(lambda: len(server.body) > 100_000)
-            stand.node.pool.attempts.copy().popitem()[1].connection.transport.abort()  # type: ignore[union-attr]
+            fixture.node.pool.attempts.copy().popitem()[1].connection.transport.abort()  # type: ignore[union-attr]
             status, _, _ = await client.read_response()
-            outcome = await stand.next_outcome()
+            outcome = await fixture.next_outcome()
             assert (status, outcome.result, outcome.spent) == (503, Result.UNREACHABLE, True)
 
     run(test())
@@ -354,11 +354,11 @@
         writer.close()
 
     async def test() -> None:
-        peer = FakeServer()
-        peer.server = await asyncio.start_server(reject_early, "127.0.0.1", 0)
-        peer.port = peer.server.sockets[0].getsockname()[1]
-        async with run_node(peer, max_attempts=3) as stand:
-            client = await stand.connect_client()
+        server = FakeServer()
+        server.server = await asyncio.start_server(reject_early, "127.0.0.1", 0)
+        server.port = server.server.sockets[0].getsockname()[1]
+        async with run_node(server, max_attempts=3) as fixture:
+            client = await fixture.connect_client()
             data = upload_request(LARGE_BODY)
             client.writer.write(data[: len(data) // 2])
             assert (await client.read_response())[0] == 503
@@ -370,24 +370,24 @@
 
 def test_aborted_upload_does_not_count_against_server() -> None:
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
-            client = await stand.connect_client()
+        async with running_controlled_server() as (fixture, server):
+            client = await fixture.connect_client()
             client.writer.write(upload_request(LARGE_BODY)[: len(LARGE_BODY) // 2])
             await wait_until(lambda: len(server.body) > 100_000)
             client.writer.transport.abort()
-            assert (await stand.next_outcome()).result == Result.CANCELLED
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
             await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
             assert (
-                not stand.node.held
-                and not stand.node.pool.attempts
-                and stand.node.body_budget.body_count == 0
+                not fixture.node.held
+                and not fixture.node.pool.attempts
+                and fixture.node.body_budget.body_count == 0
             )
-            record = stand.node.policy.endpoints[stable_id(b"s-1")]
+            record = fixture.node.policy.endpoints[stable_id(b"s-1")]
             assert not any(health.failure_share for health in record.health)
             assert (
                 not record.open_attempts
                 and not record.uploading_attempts
-                and stand.node.policy.in_flight_now == 0
+                and fixture.node.policy.in_flight_now == 0
             )
 
     run(test())
@@ -396,16 +396,16 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_malformed_chunked_body_gets_400_and_cancels_attempt(may_cancel: bool) -> None:
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
-            object.__setattr__(stand.node.policy.settings, "may_cancel", may_cancel)
-            client = await stand.connect_client()
+        async with running_controlled_server() as (fixture, server):
+            object.__setattr__(fixture.node.policy.settings, "may_cancel", may_cancel)
+            client = await fixture.connect_client()
             data = upload_request(LARGE_BODY, "chunked")
             client.writer.write(data.removesuffix(LAST_CHUNK) + b"nothing of the kind\r\n")
             assert (await client.read_response())[0] == 400
             assert await client.read_until_close() == b""
             await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
-            assert (await stand.next_outcome()).result == Result.CANCELLED
-            assert not stand.node.pool.attempts and stand.node.figures.forwards == 0
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
+            assert not fixture.node.pool.attempts and fixture.node.figures.forwards == 0
 
     run(test())
 
@@ -415,17 +415,17 @@
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 400_000)
 
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
-            client, data = await stand.connect_client(), upload_request(bytes(400_000))
+        async with running_controlled_server() as (fixture, server):
+            client, data = await fixture.connect_client(), upload_request(bytes(400_000))
             for i in range(0, len(data), 40_000):  # 1 s at the minimum rate, and the timeout of 0.4 s
                 client.writer.write(data[i : i + 40_000])
                 await asyncio.sleep(0.08)
             assert (await client.read_response())[0] == 200
-        async with running_controlled_server() as (stand, server):
-            client = await stand.connect_client()
+        async with running_controlled_server() as (fixture, server):
+            client = await fixture.connect_client()
             client.writer.write(upload_request(LARGE_BODY)[:100_000])
             assert (await client.read_response())[0] == 408
-            assert (await stand.next_outcome()).result == Result.CANCELLED
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
 
     run(test())
 
@@ -437,8 +437,8 @@
     monkeypatch.setattr(client_connections, "MIN_UPLOAD_BYTES_PER_S", 20_000)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            client, data = await stand.connect_client(), build_request("pay", body=bytes(30_000))
+        async with run_node(await FakeServer().start()) as fixture:
+            client, data = await fixture.connect_client(), build_request("pay", body=bytes(30_000))
             for i in range(0, 3_000 if stalls else len(data), 3_000):  # buffered whole
                 client.writer.write(data[i : i + 3_000])
                 await asyncio.sleep(0.08)
@@ -450,38 +450,38 @@
 def test_large_pipelined_body_waits_for_earlier_request() -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if head.startswith(b"GET"):
             await release.wait()
         writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await FakeServer(delayed_response).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(delayed_response).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request() + upload_request(LARGE_BODY) + build_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
-            assert len(stand.node.held) == 1
-            (connection,) = stand.node.listener.connections
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
+            assert len(fixture.node.held) == 1
+            (connection,) = fixture.node.listener.connections
             await wait_until(lambda: connection.paused_for_upload)  # reading is paused meanwhile
             release.set()
             for _ in range(3):
                 assert (await client.read_response())[0] == 200
-            assert len(await peer.requests.get()) > len(LARGE_BODY)
+            assert len(await server.requests.get()) > len(LARGE_BODY)
 
     run(test())
 
 
 def test_100_continue_is_sent_when_accepted_but_not_when_refused() -> None:
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
-            client = await stand.connect_client()
+        async with running_controlled_server() as (fixture, server):
+            client = await fixture.connect_client()
             data = upload_request(LARGE_BODY, Expect="100-continue")
             head, body = data[: -len(LARGE_BODY)], data[-len(LARGE_BODY) :]
             assert (await client.send_request(head))[0] == 100
             assert (await client.send_request(body))[0] == 200
-            late = await stand.connect_client()
-            stand.node.cordon(b"s-1")  # no server is left
+            late = await fixture.connect_client()
+            fixture.node.cordon(b"s-1")  # no server is left
             status, headers, _ = await late.send_request(
                 upload_request(LARGE_BODY, Expect="100-continue")[: -len(LARGE_BODY)]
             )
@@ -494,12 +494,12 @@
     monkeypatch.setattr(client_connections, "MAX_REQUEST_BODY_BYTES", 300_000)
 
     async def test() -> None:
-        async with running_controlled_server() as (stand, server):
-            client = await stand.connect_client()
+        async with running_controlled_server() as (fixture, server):
+            client = await fixture.connect_client()
             client.writer.write(upload_request(LARGE_BODY, "chunked"))
             assert (await client.read_response())[0] == 413
             await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
-            assert (await stand.next_outcome()).result == Result.CANCELLED
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
 
     run(test())
 
@@ -509,15 +509,15 @@
         unreachable = await FakeServer().start()
         unreachable.server.close()
         server = ControlledServer()
-        async with run_node(unreachable, await server.start(), max_attempts=3) as stand:
-            stand.node.policy.random.seed(3)
+        async with run_node(unreachable, await server.start(), max_attempts=3) as fixture:
+            fixture.node.policy.random.seed(3)
             outcomes = []
             for _ in range(12):
-                client = await stand.connect_client()
+                client = await fixture.connect_client()
                 if (await client.send_request(upload_request(LARGE_BODY)))[0] == 200:
                     break
-            while not stand.events.empty():
-                event = stand.events.get_nowait()
+            while not fixture.events.empty():
+                event = fixture.events.get_nowait()
                 if isinstance(event, Outcome):
                     outcomes.append((event.result, event.spent))
             assert outcomes[-1] == (Result.OK, True) and bytes(server.body) == LARGE_BODY
@@ -528,13 +528,13 @@
 
 def test_timeout_of_request_starts_after_upload() -> None:
     async def test() -> None:
-        peer = await FakeServer(never_respond).start()
-        async with run_node(peer, aim_ms=9000.0) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(never_respond).start()
+        async with run_node(server, aim_ms=9000.0) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(upload_request(LARGE_BODY).replace(b"8000m", b"300m"))
             status, _, _ = await client.read_response()
             # An unsafe request that may have run gets 502.
-            assert (status, (await stand.next_outcome()).result) == (
+            assert (status, (await fixture.next_outcome()).result) == (
                 502,
                 Result.TIMEOUT,
             )
@@ -562,26 +562,26 @@
     """With too many bodies to buffer each one whole, even bodies under 64 KiB are forwarded in parts."""
 
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer, memory_mb=8) as stand:  # a budget of 1 MiB
-            senders = [await stand.connect_client() for _ in range(60)]
+        server = await FakeServer().start()
+        async with run_node(server, memory_mb=8) as fixture:  # a budget of 1 MiB
+            senders = [await fixture.connect_client() for _ in range(60)]
             data = build_request("pay", body=bytes(60_000))
             for sender in senders:
                 sender.writer.write(data[:-1])
 
             def buffered_bytes() -> int:
-                connections = stand.node.listener.connections
+                connections = fixture.node.listener.connections
                 whole = sum(len(connection.body) for connection in connections)
                 return whole + sum(c.upload.buffered_bytes for c in connections if c.upload is not None)
 
-            await wait_until(lambda: stand.node.body_budget.body_count == 60)
+            await wait_until(lambda: fixture.node.body_budget.body_count == 60)
             await asyncio.sleep(0.1)
-            assert buffered_bytes() < 4 << 20 and stand.node.body_budget.share_bytes < 20_000
+            assert buffered_bytes() < 4 << 20 and fixture.node.body_budget.share_bytes < 20_000
             for sender in senders:
                 sender.writer.write(data[-1:])
             for sender in senders:
                 assert (await sender.read_response())[0] in (200, 503)
-            assert stand.node.body_budget.body_count == 0
+            assert fixture.node.body_budget.body_count == 0
 
     run(test())
 
@@ -591,18 +591,18 @@
     monkeypatch.setattr(server_connections, "SWEEP", 0.05)
 
     async def test() -> None:
-        async with run_node(await FakeServer(respond_with(RESPONSES["length"][:500_000])).start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(respond_with(RESPONSES["length"][:500_000])).start()) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await read_response(client)
-            assert (await stand.next_outcome()).result == Result.RESET
+            assert (await fixture.next_outcome()).result == Result.RESET
 
     run(test())
 
 
 def test_client_that_disconnects_during_response_leaves_no_state_behind() -> None:
-    async def stream_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
         with suppress(ConnectionError):
             for _ in range(32 << 20 >> 16):
@@ -610,15 +610,15 @@
                 await writer.drain()
 
     async def test() -> None:
-        peer = await FakeServer(stream_response).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(stream_response).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request())
             async with asyncio.timeout(TIMEOUT_S):
                 await client.reader.read(1000)
             client.writer.transport.abort()
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
-            await wait_until(lambda: not stand.node.pool.attempts and not stand.node.pool.connections)
-            assert not stand.node.held and stand.node.body_budget.body_count == 0
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
+            await wait_until(lambda: not fixture.node.pool.attempts and not fixture.node.pool.connections)
+            assert not fixture.node.held and fixture.node.body_budget.body_count == 0
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -85,12 +85,12 @@
 class RawClient:
     """A client socket that only does what the test calls for."""
 
-    def __init__(self, stand: NodeFixture, buffer: int = 0) -> None:
-        assert stand.node.server is not None
+    def __init__(self, fixture: NodeFixture, buffer: int = 0) -> None:
+        assert fixture.node.server is not None
         self.socket = socket.socket()
         if buffer:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
-        self.socket.connect(stand.node.server.sockets[0].getsockname())
+        self.socket.connect(fixture.node.server.sockets[0].getsockname())
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
@@ -120,7 +120,7 @@
     def __init__(self) -> None:
         self.is_open = asyncio.Event()
 
-    async def respond_when_open(self, peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_open(self, server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await self.is_open.wait()
         writer.write(OK_RESPONSE)
 
@@ -161,8 +161,8 @@
         self.queue_filler.close()
 
 
-async def wait_for_list(stand: NodeFixture, version: int) -> None:
-    while (await stand.next_event(ServerList)).version != version:
+async def wait_for_list(fixture: NodeFixture, version: int) -> None:
+    while (await fixture.next_event(ServerList)).version != version:
         pass
 
 
@@ -179,11 +179,11 @@
     gate = ResponseGate()
 
     async def test() -> None:
-        peer = await FakeServer(gate.respond_when_open).start()
-        async with run_node(peer) as stand:
-            client, second = RawClient(stand), build_request()
+        server = await FakeServer(gate.respond_when_open).start()
+        async with run_node(server) as fixture:
+            client, second = RawClient(fixture), build_request()
             client.send(build_request(Connection="close") + second[:30])
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
             gate.is_open.set()
             first = await client.receive()
             assert first.startswith(b"HTTP/1.1 200") and b"Connection: close" in first
@@ -191,9 +191,9 @@
             assert await client.receive_until_close() == b""
             client.close()
             await wait_until(
-                lambda: not stand.node.listener.connections and not stand.node.listener.lingering
+                lambda: not fixture.node.listener.connections and not fixture.node.listener.lingering
             )
-            assert peer.requests.empty() and not stand.node.held
+            assert server.requests.empty() and not fixture.node.held
 
     run(test())
 
@@ -202,18 +202,18 @@
     gate = ResponseGate()
 
     async def test() -> None:
-        peer = await FakeServer(gate.respond_when_open).start()
-        async with run_node(peer) as stand:
-            client, second = RawClient(stand), build_request()
+        server = await FakeServer(gate.respond_when_open).start()
+        async with run_node(server) as fixture:
+            client, second = RawClient(fixture), build_request()
             client.send(build_request() + second[:30])
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
-            stand.node.stopping = True
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
+            fixture.node.stopping = True
             gate.is_open.set()
             assert b"Connection: close" not in await client.receive()
             client.send(second[30:])
             last = await client.receive_until_close()
             assert last.startswith(b"HTTP/1.1 200") and b"Connection: close" in last
-            await wait_until(lambda: not stand.node.listener.idle)
+            await wait_until(lambda: not fixture.node.listener.idle)
 
     run(test())
 
@@ -223,35 +223,35 @@
 )
 def test_unfinished_request_gets_503_when_node_ends(data: bytes) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = RawClient(stand)
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = RawClient(fixture)
             client.send(data)
-            await wait_until(lambda: bool(stand.node.listener.receiving_first_request))
-            stand.node.stopping = True
-            stand.node.listener.reject_unfinished_requests()
+            await wait_until(lambda: bool(fixture.node.listener.receiving_first_request))
+            fixture.node.stopping = True
+            fixture.node.listener.reject_unfinished_requests()
             response = await client.receive_until_close()
             assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
-            assert not stand.node.held and peer.requests.empty()
+            assert not fixture.node.held and server.requests.empty()
 
     run(test())
 
 
 def test_close_with_unread_request_does_not_reset_or_forward() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = RawClient(stand)
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = RawClient(fixture)
             client.send(build_request())
             assert (await client.receive()).startswith(b"HTTP/1.1 200")
-            await wait_until(lambda: bool(stand.node.listener.idle))
+            await wait_until(lambda: bool(fixture.node.listener.idle))
             client.send(build_request())
-            stand.node.stopping = True
-            stand.node.listener.close_idle()
+            fixture.node.stopping = True
+            fixture.node.listener.close_idle()
             assert await client.receive_until_close() == b""
             client.close()
-            await wait_until(lambda: not stand.node.listener.lingering)
-            assert peer.requests.qsize() == 1 and not stand.node.held
+            await wait_until(lambda: not fixture.node.listener.lingering)
+            assert server.requests.qsize() == 1 and not fixture.node.held
 
     run(test())
 
@@ -262,22 +262,22 @@
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.0)
     size = 1 << 20
 
-    async def stream_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def stream_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size >> 16):
             writer.write(bytes(65536))
             await writer.drain()
 
     async def test() -> None:
-        async with run_node(await FakeServer(stream_response).start()) as stand:
-            client = RawClient(stand, buffer=4096)
-            await wait_until(lambda: bool(stand.node.listener.connections))
-            (connection,) = stand.node.listener.connections
+        async with run_node(await FakeServer(stream_response).start()) as fixture:
+            client = RawClient(fixture, buffer=4096)
+            await wait_until(lambda: bool(fixture.node.listener.connections))
+            (connection,) = fixture.node.listener.connections
             sock = connection.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the kernel buffers very little
             client.send(build_request(Connection="close"))
             received_bytes = 0
-            while stand.node.pool.attempts or not received_bytes:
+            while fixture.node.pool.attempts or not received_bytes:
                 received_bytes += len(await client.receive())
             for _ in range(20):  # the node has written all; the end waits for the client
                 await asyncio.sleep(0)
@@ -293,17 +293,17 @@
 @DISCONNECTS
 def test_client_disconnect_is_detected_while_reading_is_paused_for_queue(disconnect: Disconnect) -> None:
     async def test() -> None:
-        peer = await FakeServer(never_respond).start()
-        async with run_node(peer) as stand:
-            client = RawClient(stand)
+        server = await FakeServer(never_respond).start()
+        async with run_node(server) as fixture:
+            client = RawClient(fixture)
             client.send(build_request() * (2 * client_connections.MAX_PIPELINED_REQUESTS))
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
-            (connection,) = stand.node.listener.connections
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
+            (connection,) = fixture.node.listener.connections
             assert connection.paused_for_queue
             disconnect(client)
-            await stand.next_event(Withdrawn)
-            await wait_until(lambda: not stand.node.listener.connections)
-            assert peer.requests.empty() and not stand.node.held
+            await fixture.next_event(Withdrawn)
+            await wait_until(lambda: not fixture.node.listener.connections)
+            assert server.requests.empty() and not fixture.node.held
 
     run(test())
 
@@ -311,7 +311,7 @@
 @DISCONNECTS
 def test_client_disconnect_is_detected_while_reading_is_paused_for_upload(disconnect: Disconnect) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
+        server = await FakeServer().start()
         head_read = asyncio.Event()
 
         async def read_head_only(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -319,24 +319,24 @@
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             head_read.set()
 
-        peer.server.close()
-        peer.server = await asyncio.start_server(read_head_only, "127.0.0.1", 0)
-        peer.port = peer.server.sockets[0].getsockname()[1]
-        async with run_node(peer) as stand:
-            client, body = RawClient(stand), bytes(16 << 20)
+        server.server.close()
+        server.server = await asyncio.start_server(read_head_only, "127.0.0.1", 0)
+        server.port = server.server.sockets[0].getsockname()[1]
+        async with run_node(server) as fixture:
+            client, body = RawClient(fixture), bytes(16 << 20)
             head = build_request("pay").replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
             client.send(head)
             await asyncio.wait_for(head_read.wait(), TIMEOUT_S)
-            (connection,) = stand.node.listener.connections
+            (connection,) = fixture.node.listener.connections
             async with asyncio.timeout(TIMEOUT_S):
                 # Send no more then: unsent bytes in the client's kernel would hide its close.
                 while not connection.paused_for_upload:
                     client.send(body[:65536])
                     await asyncio.sleep(0.001)
             disconnect(client)
-            await stand.next_event(Withdrawn)
-            await wait_until(lambda: not stand.node.listener.connections and not stand.node.pool.attempts)
-            assert not stand.node.held
+            await fixture.next_event(Withdrawn)
+            await wait_until(lambda: not fixture.node.listener.connections and not fixture.node.pool.attempts)
+            assert not fixture.node.held
 
     run(test())
 
@@ -348,21 +348,21 @@
 ) -> None:
     async def test() -> None:
         server = LateAcceptServer()
-        peer = FakeServer()
-        peer.port = server.port
+        listed_server = FakeServer()
+        listed_server.port = server.port
         settings = Settings(
             classes=(RequestClass(5000.0, 9000.0, 1.0, Effect.SAFE),) * 3,
             may_cancel=may_cancel,
             max_attempts=1,
         )
-        async with run_node(peer, settings=settings) as stand:
-            client = RawClient(stand)
+        async with run_node(listed_server, settings=settings) as fixture:
+            client = RawClient(fixture)
             client.send(build_request())
-            await wait_until(lambda: stand.node.pool.dials == 1)
+            await wait_until(lambda: fixture.node.pool.dials == 1)
             disconnect(client)
-            await stand.next_event(Withdrawn)
+            await fixture.next_event(Withdrawn)
             server.start_accepting()
-            await wait_until(lambda: stand.node.pool.dials == 0 and not stand.node.pool.attempts)
+            await wait_until(lambda: fixture.node.pool.dials == 0 and not fixture.node.pool.attempts)
             with suppress(TimeoutError):  # a dial that was not cancelled succeeds within a second
                 assert await asyncio.wait_for(server.received.get(), 1.5) == b""
             server.close()
@@ -372,14 +372,14 @@
 
 def test_end_of_stream_behind_partial_request_withdraws_earlier_request() -> None:
     async def test() -> None:
-        peer = await FakeServer(never_respond).start()
-        async with run_node(peer) as stand:
-            client = RawClient(stand)
+        server = await FakeServer(never_respond).start()
+        async with run_node(server) as fixture:
+            client = RawClient(fixture)
             client.send(build_request() + build_request()[:40])
             client.close()
-            await stand.next_event(Withdrawn)
-            await wait_until(lambda: not stand.node.listener.connections)
-            assert not stand.node.held
+            await fixture.next_event(Withdrawn)
+            await wait_until(lambda: not fixture.node.listener.connections)
+            assert not fixture.node.held
 
     run(test())
 
@@ -395,23 +395,23 @@
         keyed = RequestClass(5000.0, 9000.0, 1.0, Effect.KEYED, Group.ALL, window=600.0)
         async with run_node(
             first, second, settings=Settings(classes=(keyed,) * 3, may_cancel=True, max_attempts=3)
-        ) as stand:
-            policy = stand.node.policy
+        ) as fixture:
+            policy = fixture.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             sends: list[int] = []
-            send = stand.node.send
+            send = fixture.node.send
 
             def record_send(action: Send) -> None:
                 sends.append(action.server)
                 send(action)
 
-            stand.node.perform[Send] = record_send
+            fixture.node.perform[Send] = record_send
             policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
                 stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
-            client = await stand.connect_client()
+            client = await fixture.connect_client()
             response_task = asyncio.create_task(client.send_request(build_request("book")))
-            await wait_until(lambda: len(sends) == 2 and stand.node.pool.dials == 1)
+            await wait_until(lambda: len(sends) == 2 and fixture.node.pool.dials == 1)
             server.start_accepting()
             status, _, _ = await response_task
             assert status != 200
@@ -431,12 +431,12 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         first.port = listener.getsockname()[1]
-        async with run_node(first, second, max_attempts=2) as stand:
-            policy = stand.node.policy
+        async with run_node(first, second, max_attempts=2) as fixture:
+            policy = fixture.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             target = {"name": b"s-2"}
             policy.choose_endpoint = lambda pending: policy.endpoints[stable_id(target["name"])]  # type: ignore[method-assign]
-            client = await stand.connect_client()
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[
                 0
             ] == 200  # leaves an idle connection to the second server
@@ -456,7 +456,7 @@
 
             with pytest.MonkeyPatch.context() as patch:
                 patch.setattr(ServerConnection, "start", check_and_start)
-                stand.node.pool.cancel(stand.node.last_id, 0)
+                fixture.node.pool.cancel(fixture.node.last_id, 0)
             assert (await response_task)[0] == 200
             assert received_at_start == [b""]
         first_connection.close()
@@ -473,15 +473,15 @@
     name = b"the first's"
     late = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name)
 
-    async def respond_twice(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_twice(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(OK_RESPONSE)
-        if peer.requests.qsize() == 1:
+        if server.requests.qsize() == 1:
             asyncio.get_running_loop().call_later(0.004, writer.write, late)
 
     async def test() -> None:
-        peer = await FakeServer(respond_twice).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(respond_twice).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             for _ in range(20):  # without pauses: more than 4 ms in all
                 assert (await client.send_request(build_request()))[2] == b"done"
 
@@ -490,21 +490,21 @@
 
 def test_request_withdrawn_during_reuse_delay_is_not_sent_and_keeps_connection() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client, loop = await stand.connect_client(), asyncio.get_running_loop()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client, loop = await fixture.connect_client(), asyncio.get_running_loop()
             assert (await client.send_request(build_request()))[0] == 200
-            send = stand.node.send
+            send = fixture.node.send
 
             def send_then_withdraw(action: Send) -> None:
                 send(action)
-                loop.call_soon(stand.node.client_gone, action.id)
+                loop.call_soon(fixture.node.client_gone, action.id)
 
-            stand.node.perform[Send] = send_then_withdraw
+            fixture.node.perform[Send] = send_then_withdraw
             client.writer.write(build_request())
-            await stand.next_event(Withdrawn)
-            await wait_until(lambda: len(stand.node.pool.servers[stable_id(b"s-1")].idle) == 1)
-            assert peer.requests.qsize() == 1 and not stand.node.pool.attempts
+            await fixture.next_event(Withdrawn)
+            await wait_until(lambda: len(fixture.node.pool.servers[stable_id(b"s-1")].idle) == 1)
+            assert server.requests.qsize() == 1 and not fixture.node.pool.attempts
 
     run(test())
 
@@ -512,21 +512,21 @@
 @pytest.mark.parametrize("state", ["leaving", "left"])
 def test_request_is_retried_at_once_if_server_drains_during_dial(state: str) -> None:
     async def test() -> None:
-        server, peer = LateAcceptServer(), FakeServer()
-        peer.port = server.port
+        server, listed_server = LateAcceptServer(), FakeServer()
+        listed_server.port = server.port
         other = await FakeServer().start()
-        async with run_node(peer, other, max_attempts=2) as stand:
-            policy = stand.node.policy
+        async with run_node(listed_server, other, max_attempts=2) as fixture:
+            policy = fixture.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
                 stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
-            client = await stand.connect_client()
+            client = await fixture.connect_client()
             response_task = asyncio.create_task(client.send_request(build_request("pay")))
-            await wait_until(lambda: stand.node.pool.dials == 1)
-            stand.discovery.push_update(2, [peer.list_entry("s-1", state)])
+            await wait_until(lambda: fixture.node.pool.dials == 1)
+            fixture.discovery.push_update(2, [listed_server.list_entry("s-1", state)])
             assert (await response_task)[0] == 200  # from the other server, while the first dial still waits
-            assert stand.node.pool.dials == 0
+            assert fixture.node.pool.dials == 0
             server.start_accepting()
             with suppress(TimeoutError):
                 assert await asyncio.wait_for(server.received.get(), 1.5) == b""
@@ -537,17 +537,19 @@
 
 def test_retry_may_use_endpoint_added_by_same_list() -> None:
     async def test() -> None:
-        server, peer = LateAcceptServer(), FakeServer()
-        peer.port = server.port
+        server, listed_server = LateAcceptServer(), FakeServer()
+        listed_server.port = server.port
         added = await FakeServer().start()
-        async with run_node(peer, max_attempts=2) as stand:
-            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
-            client = await stand.connect_client()
+        async with run_node(listed_server, max_attempts=2) as fixture:
+            fixture.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
+            client = await fixture.connect_client()
             response_task = asyncio.create_task(client.send_request(build_request("pay")))
-            await wait_until(lambda: stand.node.pool.dials == 1)
-            stand.discovery.push_update(2, [peer.list_entry("s-1", "leaving"), added.list_entry("s-2")])
+            await wait_until(lambda: fixture.node.pool.dials == 1)
+            fixture.discovery.push_update(
+                2, [listed_server.list_entry("s-1", "leaving"), added.list_entry("s-2")]
+            )
             assert (await response_task)[0] == 200
-            assert not stand.node.pool.attempts
+            assert not fixture.node.pool.attempts
         server.start_accepting()
         server.close()
 
@@ -556,22 +558,23 @@
 
 def test_server_that_drains_during_reuse_delay_gets_no_request() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[0] == 200
-            send = stand.node.send
+            send = fixture.node.send
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
-                    {"generation": 2, "reset": False, "instances": [peer.list_entry("s-1", "leaving")]}, False
+                fixture.node.take_list(
+                    {"generation": 2, "reset": False, "instances": [server.list_entry("s-1", "leaving")]},
+                    False,
                 )
 
-            stand.node.perform[Send] = send_then_drain
+            fixture.node.perform[Send] = send_then_drain
             assert (await client.send_request(build_request()))[0] == 503
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
-            assert peer.requests.qsize() == 1 and peer.connection_count == 1
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
+            assert server.requests.qsize() == 1 and server.connection_count == 1
 
     run(test())
 
@@ -591,22 +594,22 @@
     monkeypatch.setattr(server_connections, "REST", 0.0)
 
     async def test() -> None:
-        peer = RawPeer()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = RawPeer()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request("pay")))[0] == 200
-            send = stand.node.send
+            send = fixture.node.send
 
             def send_after_event(action: Send) -> None:
-                cause_event(peer.sockets[0])  # in the same step in which the next attempt is sent
+                cause_event(server.sockets[0])  # in the same step in which the next attempt is sent
                 send(action)
 
-            stand.node.perform[Send] = send_after_event
+            fixture.node.perform[Send] = send_after_event
             assert (await client.send_request(build_request("pay")))[
                 0
             ] == 200  # an unsafe request: it could not be retried
-            assert len(peer.sockets) == 2
-        peer.close()
+            assert len(server.sockets) == 2
+        server.close()
 
     run(test())
 
@@ -619,7 +622,7 @@
 ) -> None:
     gate = ResponseGate()
 
-    async def respond_in_two_parts(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond_in_two_parts(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (BUFFERED_BODY_BYTES + 2)
             + bytes(BUFFERED_BODY_BYTES + 1)
@@ -628,18 +631,18 @@
         writer.write(b"x")
 
     async def test() -> None:
-        peer = await FakeServer(respond_in_two_parts).start()
-        async with run_node(peer) as stand:
-            client = RawClient(stand)
+        server = await FakeServer(respond_in_two_parts).start()
+        async with run_node(server) as fixture:
+            client = RawClient(fixture)
             client.send(build_request())
-            await stand.next_event(Began)
-            stand.discovery.push_update(2, [peer.list_entry("s-1", "left")])
-            await wait_for_list(stand, 2)
+            await fixture.next_event(Began)
+            fixture.discovery.push_update(2, [server.list_entry("s-1", "left")])
+            await wait_for_list(fixture, 2)
             gate.is_open.set()
             received_bytes = 0
             while received_bytes < BUFFERED_BODY_BYTES:
                 received_bytes += len(await client.receive())
-            assert (await stand.next_outcome()).result == Result.OK
+            assert (await fixture.next_outcome()).result == Result.OK
             assert not [record for record in caplog.records if record.levelname == "ERROR"]
 
     run(test())
@@ -660,11 +663,11 @@
             end_connection(sock)
 
     async def test() -> None:
-        peer = RespondingPeer()
-        async with run_node(peer) as stand:
-            status, _, body = await (await stand.connect_client()).send_request(build_request("pay"))
+        server = RespondingPeer()
+        async with run_node(server) as fixture:
+            status, _, body = await (await fixture.connect_client()).send_request(build_request("pay"))
             assert (status, body) == ((200, b"done") if end_connection is socket.socket.close else (502, b""))
-        peer.close()
+        server.close()
 
     run(test())
 
@@ -675,54 +678,54 @@
 @pytest.mark.parametrize("part_size", [0, 1, 40], ids=["whole", "bytes", "pieces"])
 def test_lists_may_be_indented_and_arrive_in_parts(part_size: int) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            agent, calls = stand.discovery, stand.discovery.request_targets
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            agent, calls = fixture.discovery, fixture.discovery.request_targets
             assert await calls.get() == WATCH_TARGET
             agent.indent = 2
-            agent.push_update(2, [peer.list_entry("s-1", "leaving"), peer.list_entry("s-2")])
-            agent.push_update(3, [peer.list_entry("s-3")])
+            agent.push_update(2, [server.list_entry("s-1", "leaving"), server.list_entry("s-2")])
+            agent.push_update(3, [server.list_entry("s-3")])
             data = b"".join(line for _ in range(2) if (line := agent.watch_lines.get_nowait()) is not None)
             for start in range(0, len(data), part_size or len(data)):
                 agent.watch_lines.put_nowait(data[start : start + part_size] if part_size else data)
-            await wait_for_list(stand, 3)
-            assert stand.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
+            await wait_for_list(fixture, 3)
+            assert fixture.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
             agent.watch_lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
-            await wait_for_list(stand, 4)
+            await wait_for_list(fixture, 4)
             assert calls.empty()  # no list was requested again
             agent.watch_lines.put_nowait(b"{\n\n")  # invalid inside an object
             assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
-            await wait_for_list(stand, 1)
+            await wait_for_list(fixture, 1)
 
     run(test())
 
 
 def test_list_without_line_end_is_used() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
             line = json.dumps(
-                {"generation": 2, "reset": False, "instances": [peer.list_entry("s-1", "leaving")]}
+                {"generation": 2, "reset": False, "instances": [server.list_entry("s-1", "leaving")]}
             )
-            stand.discovery.watch_lines.put_nowait(line.encode())
-            await wait_for_list(stand, 2)
+            fixture.discovery.watch_lines.put_nowait(line.encode())
+            await wait_for_list(fixture, 2)
 
     run(test())
 
 
 def test_truncated_list_line_is_requested_again() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            calls = stand.discovery.request_targets
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            calls = fixture.discovery.request_targets
             assert await calls.get() == WATCH_TARGET
-            stand.discovery.push_update(2, [peer.list_entry("s-1", "leaving")])
-            line = stand.discovery.watch_lines.get_nowait()
+            fixture.discovery.push_update(2, [server.list_entry("s-1", "leaving")])
+            line = fixture.discovery.watch_lines.get_nowait()
             assert line is not None
-            stand.discovery.watch_lines.put_nowait(line[:40])
-            stand.discovery.watch_lines.put_nowait(None)
+            fixture.discovery.watch_lines.put_nowait(line[:40])
+            fixture.discovery.watch_lines.put_nowait(None)
             assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == WATCH_TARGET
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is State.READY
+            assert fixture.node.pool.servers[stable_id(b"s-1")].state is State.READY
 
     run(test())
 
@@ -731,11 +734,12 @@
     monkeypatch.setattr(discovery, "PART_TIME", 0.05)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            assert await stand.discovery.request_targets.get() == WATCH_TARGET
-            stand.discovery.watch_lines.put_nowait(b'{"generation": 2, "ins')
+        async with run_node(await FakeServer().start()) as fixture:
+            assert await fixture.discovery.request_targets.get() == WATCH_TARGET
+            fixture.discovery.watch_lines.put_nowait(b'{"generation": 2, "ins')
             assert (
-                await asyncio.wait_for(stand.discovery.request_targets.get(), TIMEOUT_S) == "/catalog/members"
+                await asyncio.wait_for(fixture.discovery.request_targets.get(), TIMEOUT_S)
+                == "/catalog/members"
             )
 
     run(test())
@@ -768,11 +772,11 @@
             client.listener.set_limit(limit)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            clients = [await stand.connect_client() for _ in range(6)]
+        async with run_node(await FakeServer().start()) as fixture:
+            clients = [await fixture.connect_client() for _ in range(6)]
             for client in clients:
                 assert (await client.send_request(build_request()))[0] == 200
-            listener = stand.node.listener
+            listener = fixture.node.listener
             await wait_until(lambda: len(listener.idle) == 6)
             monkeypatch.setattr(client_connections.Listener, "evict_connection", count_evictions)
             monkeypatch.setattr(client_connections.ClientConnection, "abandon", abandon_and_lower_limit)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -54,8 +54,8 @@
     caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
 
     async def test() -> None:
-        async with run_node(await FakeServer(respond_with(FULL)).start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(respond_with(FULL)).start()) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request(Request_Id="9b1f03aa5c7e2d41")))[0] == 503
 
     run(test())
@@ -76,10 +76,10 @@
     caplog.set_level(logging.INFO, "flaxstep.proxy")
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            assert await stand.discovery.request_targets.get()
-            stand.discovery.watch_lines.put_nowait(None)
-            assert await stand.discovery.request_targets.get()  # the watch has ended and is reopened
+        async with run_node(await FakeServer().start()) as fixture:
+            assert await fixture.discovery.request_targets.get()
+            fixture.discovery.watch_lines.put_nowait(None)
+            assert await fixture.discovery.request_targets.get()  # the watch has ended and is reopened
 
     run(test())
     assert any(
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -56,15 +56,15 @@
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
         typed_response = OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        peer = await FakeServer(respond_with(typed_response)).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(respond_with(typed_response)).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             data = build_request("book", body=b"\x00ride", Tenant="acme").replace(
                 b"/cab7", b"/cab7?a=1&b=%20"
             )
             status, head, body = await client.send_request(data)
             assert (status, body, header_value(head, b"Content-Type")) == (200, b"done", b"x/y")
-            forwarded = await peer.requests.get()
+            forwarded = await server.requests.get()
             assert forwarded.startswith(b"POST /book/cab7?a=1&b=%20 HTTP/1.1\r\n") and forwarded.endswith(
                 b"\r\n\r\n\x00ride"
             )
@@ -78,12 +78,12 @@
 
 def test_absolute_form_target_is_forwarded_as_path() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             for target in (b"http://backend.local/find/cab7?a=1", b"HTTPS://h:80/find/cab7?a=1"):
                 assert (await client.send_request(build_request().replace(b"/find/cab7", target)))[0] == 200
-                assert (await peer.requests.get()).startswith(b"GET /find/cab7?a=1 HTTP/1.1\r\n")
+                assert (await server.requests.get()).startswith(b"GET /find/cab7?a=1 HTTP/1.1\r\n")
             assert (await client.send_request(build_request().replace(b"/find/cab7", b"ftp://h/find/cab7")))[
                 0
             ] == 400
@@ -124,159 +124,161 @@
 )
 def test_attempt_results_and_response_statuses(script: ResponseScript, result: Result) -> None:
     async def test() -> None:
-        async with run_node(await FakeServer(script).start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(script).start()) as fixture:
+            client = await fixture.connect_client()
             status, head, _ = await client.send_request(build_request())
-            assert (await stand.next_outcome()).result == result
+            assert (await fixture.next_outcome()).result == result
             assert status == (200 if result is Result.OK else 503)
             assert (header_value(head, b"Retry-After") is None) == (
                 status == 200
             )  # a refusal says when to retry
-            assert not stand.node.held and not stand.node.pool.attempts
+            assert not fixture.node.held and not fixture.node.pool.attempts
 
     run(test())
 
 
 def test_refused_connection_makes_server_unreachable() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        peer.server.close()
-        async with run_node(peer) as stand:
-            status, _, _ = await (await stand.connect_client()).send_request(build_request("pay"))
-            assert (status, (await stand.next_outcome()).result) == (503, Result.UNREACHABLE)
+        server = await FakeServer().start()
+        server.server.close()
+        async with run_node(server) as fixture:
+            status, _, _ = await (await fixture.connect_client()).send_request(build_request("pay"))
+            assert (status, (await fixture.next_outcome()).result) == (503, Result.UNREACHABLE)
 
     run(test())
 
 
 def test_invalid_address_makes_server_unreachable() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            stand.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
-            status, _, _ = await (await stand.connect_client()).send_request(build_request())
-            assert (status, (await stand.next_outcome()).result) == (503, Result.UNREACHABLE)
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            fixture.node.pool.servers[stable_id(b"s-1")].address = ("a" * 70 + ".\udc80", 9)
+            status, _, _ = await (await fixture.connect_client()).send_request(build_request())
+            assert (status, (await fixture.next_outcome()).result) == (503, Result.UNREACHABLE)
 
     run(test())
 
 
 def test_silent_server_times_out_and_connection_is_closed() -> None:
     async def test() -> None:
-        peer = await FakeServer(never_respond).start()
-        async with run_node(peer, aim_ms=1000.0) as stand:
-            status, _, _ = await (await stand.connect_client()).send_request(build_request())
-            assert (status, (await stand.next_outcome()).result) == (503, Result.TIMEOUT)
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
+        server = await FakeServer(never_respond).start()
+        async with run_node(server, aim_ms=1000.0) as fixture:
+            status, _, _ = await (await fixture.connect_client()).send_request(build_request())
+            assert (status, (await fixture.next_outcome()).result) == (503, Result.TIMEOUT)
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
 
     run(test())
 
 
 def test_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() -> None:
     async def test() -> None:
-        peers = [await FakeServer(abort_connection).start(), await FakeServer(abort_connection).start()]
-        async with run_node(*peers, max_attempts=4) as stand:
-            status, _, _ = await (await stand.connect_client()).send_request(build_request("pay"))
+        servers = [await FakeServer(abort_connection).start(), await FakeServer(abort_connection).start()]
+        async with run_node(*servers, max_attempts=4) as fixture:
+            status, _, _ = await (await fixture.connect_client()).send_request(build_request("pay"))
             assert status == 502
-            assert sum(peer.requests.qsize() for peer in peers) == 1
+            assert sum(server.requests.qsize() for server in servers) == 1
 
     run(test())
 
 
 def test_server_that_drains_during_dial_gets_no_request() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            node, client = stand.node, await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            node, client = fixture.node, await fixture.connect_client()
             send = node.send
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                stand.node.take_list(
-                    {"generation": 2, "reset": False, "instances": [peer.list_entry("s-1", "leaving")]}, False
+                fixture.node.take_list(
+                    {"generation": 2, "reset": False, "instances": [server.list_entry("s-1", "leaving")]},
+                    False,
                 )
 
             node.perform[Send] = send_then_drain
             status, _, _ = await client.send_request(build_request())
-            assert (status, (await stand.next_outcome()).result) == (503, Result.UNREACHABLE)
+            assert (status, (await fixture.next_outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(TIMEOUT_S):
                 while node.pool.dials:
                     await asyncio.sleep(0.01)
-            assert peer.requests.empty() and not node.pool.connections and not node.pool.attempts
+            assert server.requests.empty() and not node.pool.connections and not node.pool.attempts
 
     run(test())
 
 
 def test_connections_from_before_server_restart_are_not_reused() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[0] == 200
-            stand.discovery.push_update(2, [peer.list_entry("s-1", started_at_ms=1_000)])
-            while (await stand.next_event(ServerList)).version != 2:
+            fixture.discovery.push_update(2, [server.list_entry("s-1", started_at_ms=1_000)])
+            while (await fixture.next_event(ServerList)).version != 2:
                 pass
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
-            assert not stand.node.pool.servers[stable_id(b"s-1")].idle
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
+            assert not fixture.node.pool.servers[stable_id(b"s-1")].idle
 
     run(test())
 
 
 def test_removed_servers_are_forgotten_and_can_be_listed_again() -> None:
     async def test() -> None:
-        peer, other = await FakeServer().start(), await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server, other = await FakeServer().start(), await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[0] == 200
-            stand.discovery.push_update(
-                2, [other.list_entry("s-2"), peer.list_entry("s-1", "left"), peer.list_entry("s-9", "left")]
+            fixture.discovery.push_update(
+                2,
+                [other.list_entry("s-2"), server.list_entry("s-1", "left"), server.list_entry("s-9", "left")],
             )
-            while (await stand.next_event(ServerList)).version != 2:
+            while (await fixture.next_event(ServerList)).version != 2:
                 pass
-            assert set(stand.node.pool.servers) == {stable_id(b"s-2")}
-            stand.discovery.push_update(3, [peer.list_entry("s-1"), other.list_entry("s-2", "left")])
-            while (await stand.next_event(ServerList)).version != 3:
+            assert set(fixture.node.pool.servers) == {stable_id(b"s-2")}
+            fixture.discovery.push_update(3, [server.list_entry("s-1"), other.list_entry("s-2", "left")])
+            while (await fixture.next_event(ServerList)).version != 3:
                 pass
             assert (await client.send_request(build_request()))[0] == 200
-            assert (peer.requests.qsize(), other.requests.qsize()) == (2, 0)
+            assert (server.requests.qsize(), other.requests.qsize()) == (2, 0)
 
     run(test())
 
 
 def test_connection_with_extra_bytes_after_response_is_not_reused() -> None:
     async def test() -> None:
-        peer = await FakeServer(respond_with(OK_RESPONSE + OK_RESPONSE)).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(respond_with(OK_RESPONSE + OK_RESPONSE)).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             for _ in range(3):
                 assert (await client.send_request(build_request()))[2] == b"done"
-            assert peer.connection_count == 3
+            assert server.connection_count == 3
 
     run(test())
 
 
 def test_server_connection_is_reused() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             for _ in range(3):
                 assert (await client.send_request(build_request()))[0] == 200
-            assert peer.connection_count == 1
+            assert server.connection_count == 1
 
     run(test())
 
 
 def test_disconnected_client_leaves_no_state_behind() -> None:
     async def test() -> None:
-        peer = await FakeServer(never_respond).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(never_respond).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
             client.writer.close()
-            await stand.next_event(Withdrawn)
-            assert (await stand.next_outcome()).result == Result.CANCELLED
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
-            node = stand.node
+            await fixture.next_event(Withdrawn)
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
+            node = fixture.node
             assert not node.held and not node.pool.attempts and not node.listener.connections
 
     run(test())
@@ -284,19 +286,19 @@
 
 def test_cancelled_dial_leaves_no_connection_behind() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            pool, client = stand.node.pool, await stand.connect_client()
-            send = stand.node.send
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            pool, client = fixture.node.pool, await fixture.connect_client()
+            send = fixture.node.send
 
             def send_then_cancel(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            stand.node.perform[Send] = send_then_cancel
+            fixture.node.perform[Send] = send_then_cancel
             assert (await client.send_request(build_request()))[0] == 503
-            assert (await stand.next_outcome()).result == Result.CANCELLED
-            stand.node.perform[Send] = send
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
+            fixture.node.perform[Send] = send
             assert (await client.send_request(build_request()))[0] == 200
             assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
 
@@ -314,12 +316,12 @@
     monkeypatch.setattr(ServerConnection, "connection_made", cancel_when_made)
 
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 503
-            assert (await stand.next_outcome()).result == Result.CANCELLED
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
-            assert peer.requests.empty() and not stand.node.pool.connections
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            assert (await (await fixture.connect_client()).send_request(build_request()))[0] == 503
+            assert (await fixture.next_outcome()).result == Result.CANCELLED
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
+            assert server.requests.empty() and not fixture.node.pool.connections
 
     run(test())
 
@@ -327,28 +329,28 @@
 def test_bytes_on_idle_server_connection_close_it(caplog: pytest.LogCaptureFixture) -> None:
     writers: list[asyncio.StreamWriter] = []
 
-    async def keep_writer(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def keep_writer(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
         writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await FakeServer(keep_writer).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(keep_writer).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[0] == 200
             writers[0].write(OK_RESPONSE.replace(b"done", b"late"))
-            await asyncio.wait_for(peer.closed_connections.get(), TIMEOUT_S)
+            await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
             assert not caplog.records  # closed on purpose, not by an exception
             assert (await client.send_request(build_request()))[2] == b"done"
-            assert peer.connection_count == 2
+            assert server.connection_count == 2
 
     run(test())
 
 
 def test_upgrade_request_is_served_as_last_request_of_connection() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer().start()) as fixture:
+            client = await fixture.connect_client()
             data = build_request() + build_request(Connection="upgrade", Upgrade="websocket")
             assert (await client.send_request(data))[0] == 200
             assert (await client.read_response())[0] == 200
@@ -359,16 +361,16 @@
 
 def test_policy_gets_class_tenant_key_hint_and_retry_mark() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start(), tenants={b"acme": 0, b"ajax": 1}) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer().start(), tenants={b"acme": 0, b"ajax": 1}) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(build_request(Tenant="nobody")))[0] == 400
             data = build_request("book", key="ride/42", Tenant="ajax", Work_Hint="2500", Client_Retry="1")
             assert (await client.send_request(data))[0] == 200
-            event = await stand.next_event(Request)
+            event = await fixture.next_event(Request)
             assert (event.cls, event.tenant, event.key) == (1, 1, stable_id(b"42"))
             assert (event.hint, event.repeat) == (2.5, True)
             assert (await client.send_request(build_request(Tenant="acme", Work_Hint="much")))[0] == 200
-            event = await stand.next_event(Request)
+            event = await fixture.next_event(Request)
             assert (event.cls, event.tenant, event.hint, event.repeat) == (0, 0, 0.0, False)
 
     run(test())
@@ -376,17 +378,17 @@
 
 def test_white_space_around_header_values_is_removed() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer, tenants={b"acme": 0}) as stand:
+        server = await FakeServer().start()
+        async with run_node(server, tenants={b"acme": 0}) as fixture:
             data = build_request(
                 "book", Tenant="acme \t", Request_Timeout=" 8000m ", Idempotency_Key="\t5c0f "
             )
             assert (
-                await (await stand.connect_client()).send_request(
+                await (await fixture.connect_client()).send_request(
                     data.replace(b"Request-Timeout: 8000m\r\n", b"")
                 )
             )[0] == 200
-            forwarded = await peer.requests.get()
+            forwarded = await server.requests.get()
             assert (header_value(forwarded, b"Tenant"), header_value(forwarded, b"Idempotency-Key")) == (
                 b"acme",
                 b"5c0f",
@@ -397,12 +399,12 @@
 
 def test_forwarded_timeout_leaves_margin_for_response() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            assert (await (await stand.connect_client()).send_request(build_request(timeout="3000m")))[
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            assert (await (await fixture.connect_client()).send_request(build_request(timeout="3000m")))[
                 0
             ] == 200
-            left = header_value(await peer.requests.get(), b"Request-Timeout")
+            left = header_value(await server.requests.get(), b"Request-Timeout")
             assert left is not None and int(left[:-1]) <= 3000 - MARGIN
 
     run(test())
@@ -412,23 +414,23 @@
     monkeypatch.setattr(client_connections, "now_ms", lambda: 1000.0)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer().start()) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request(timeout="45m"))
-            due = (await stand.next_event(Request)).due
+            due = (await fixture.next_event(Request)).due
             assert 1035.0 <= due < 1045.0
 
     run(test())
 
 
 def test_pipelined_requests_get_responses_in_order() -> None:
-    async def echo(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def echo(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
 
     async def test() -> None:
-        async with run_node(await FakeServer(echo).start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer(echo).start()) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(b"".join(build_request(key=f"k{i}") for i in range(40)))
             for i in range(40):
                 assert (await client.read_response())[2] == b"k%d" % i
@@ -439,17 +441,17 @@
 def test_pipelined_requests_all_get_responses_when_node_stops() -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        peer = await FakeServer(delayed_response).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(delayed_response).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request() * 3)
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
-            stand.node.stopping = True
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
+            fixture.node.stopping = True
             release.set()
             for connection in (None, None, b"close"):
                 status, head, _ = await client.read_response()
@@ -461,9 +463,9 @@
 
 def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            await asyncio.wait_for(stand.node.told.wait(), TIMEOUT_S)  # before that the node is not ready
-            client = await stand.connect_client()
+        async with run_node(await FakeServer().start()) as fixture:
+            await asyncio.wait_for(fixture.node.told.wait(), TIMEOUT_S)  # before that the node is not ready
+            client = await fixture.connect_client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
                 assert (await client.read_response())[0] == 200
@@ -507,14 +509,14 @@
 @pytest.mark.parametrize(("data", "status", "ends"), INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
 def test_invalid_request_is_rejected_and_not_forwarded(data: bytes, status: int, ends: bool) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(data))[0] == status
-            assert peer.requests.empty()
+            assert server.requests.empty()
             if ends:
                 assert await client.read_until_close() == b""
-                client = await stand.connect_client()
+                client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[0] == 200
 
     run(test())
@@ -522,18 +524,18 @@
 
 def test_policy_exception_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            client = await stand.connect_client()
-            handle = stand.node.policy.handle
+        async with run_node(await FakeServer().start()) as fixture:
+            client = await fixture.connect_client()
+            handle = fixture.node.policy.handle
 
             def raise_error(now: float, event: object) -> Any:
                 raise RuntimeError("broken on purpose")
 
-            stand.node.policy.handle = raise_error  # type: ignore[method-assign]
+            fixture.node.policy.handle = raise_error  # type: ignore[method-assign]
             assert (await client.send_request(build_request()))[0] == 500
-            stand.node.policy.handle = handle  # type: ignore[method-assign]
+            fixture.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.send_request(build_request()))[0] == 200
-            assert not stand.node.held
+            assert not fixture.node.held
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -553,11 +555,11 @@
 )
 def test_malformed_watch_line_keeps_list_and_fetches_full_list(line: bytes) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client, calls = await stand.connect_client(), stand.discovery.request_targets
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client, calls = await fixture.connect_client(), fixture.discovery.request_targets
             assert await calls.get() == WATCH_TARGET
-            stand.discovery.watch_lines.put_nowait(line + b"\n")
+            fixture.discovery.watch_lines.put_nowait(line + b"\n")
             assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
             assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == WATCH_TARGET
             # Only after the full list has arrived: a change in the malformed line counts as known.
@@ -568,14 +570,14 @@
 
 def test_ended_watch_resumes_at_its_version() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            calls = stand.discovery.request_targets
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            calls = fixture.discovery.request_targets
             assert await calls.get() == WATCH_TARGET
-            stand.discovery.push_update(5, [peer.list_entry("s-1", "leaving")])
-            stand.discovery.watch_lines.put_nowait(None)
+            fixture.discovery.push_update(5, [server.list_entry("s-1", "leaving")])
+            fixture.discovery.watch_lines.put_nowait(None)
             assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=5"
-            assert stand.node.pool.servers[stable_id(b"s-1")].state is State.DRAINING
+            assert fixture.node.pool.servers[stable_id(b"s-1")].state is State.DRAINING
 
     run(test())
 
@@ -584,19 +586,19 @@
     monkeypatch.setattr(discovery, "SILENCE", 0.05)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
+        async with run_node(await FakeServer().start()) as fixture:
             for _ in range(3):
-                call = await asyncio.wait_for(stand.discovery.request_targets.get(), TIMEOUT_S)
+                call = await asyncio.wait_for(fixture.discovery.request_targets.get(), TIMEOUT_S)
                 assert call == WATCH_TARGET
-            assert stand.node.healthy and not stand.node.pool.servers.keys() - stand.node.listed
+            assert fixture.node.healthy and not fixture.node.pool.servers.keys() - fixture.node.listed
 
     run(test())
 
 
 def test_expect_continue_gets_100_response() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer().start()) as fixture:
+            client = await fixture.connect_client()
             head, body = build_request("book", body=b"ride", Expect="100-continue")[:-4], b"ride"
             assert (await client.send_request(head))[0] == 100
             assert (await client.send_request(body))[0] == 200
@@ -606,12 +608,12 @@
 
 def test_health_check_fails_without_list() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer, known_list={}) as stand:
-            client = await stand.connect_client()
-            await stand.next_event(ServerList)
+        server = await FakeServer().start()
+        async with run_node(server, known_list={}) as fixture:
+            client = await fixture.connect_client()
+            await fixture.next_event(ServerList)
             assert (await client.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-            stand.node.healthy = False
+            fixture.node.healthy = False
             assert (await client.send_request(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 503
 
     run(test())
@@ -624,32 +626,34 @@
     health = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
     async def test() -> None:
-        peer = await FakeServer().start()
+        server = await FakeServer().start()
         # Where lists are pushed, the list may be used for half the grace after discovery is known to be down.
         # This test sets a grace.
         rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * TIMEOUT_S)
-        async with run_node(peer, settings=rules) as stand:
+        async with run_node(server, settings=rules) as fixture:
             await asyncio.wait_for(
-                stand.node.told.wait(), TIMEOUT_S
+                fixture.node.told.wait(), TIMEOUT_S
             )  # confirmed by an empty line: no changes
         # From here on discovery stays silent.
         monkeypatch.setattr(discovery.Discovery, "run", lambda self: asyncio.Event().wait())
-        async with run_node(peer, settings=rules, wait_for_list=False) as stand:
-            client = await stand.connect_client()
+        async with run_node(server, settings=rules, wait_for_list=False) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(health))[0] == (200 if asks else 503)
             # Pushed changes since the list from before the restart count as known.
             assert (await client.send_request(build_request()))[0] == (200 if asks else 503)
-            stand.node.take_list(
-                {"generation": 2, "reset": True, "instances": [peer.list_entry("s-1")]}, True
+            fixture.node.take_list(
+                {"generation": 2, "reset": True, "instances": [server.list_entry("s-1")]}, True
             )
-            stand.node.take_reach(Reach.CONFIRMED, now_ms())
+            fixture.node.take_reach(Reach.CONFIRMED, now_ms())
             assert (await client.send_request(health))[0] == 200
             assert (await client.send_request(build_request()))[0] == 200
         monkeypatch.setattr(node, "FIRST_LIST", 0.0)
-        async with run_node(peer, settings=rules, wait_for_list=False) as stand:
-            client = await stand.connect_client()
+        async with run_node(server, settings=rules, wait_for_list=False) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(health))[0] == (200 if asks else 503)
-            stand.node.take_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
+            fixture.node.take_reach(
+                Reach.UNREACHABLE, now_ms()
+            )  # discovery is down: the earlier list is used
             assert (await client.send_request(health))[0] == 200
             assert (await client.send_request(build_request()))[0] == 200
 
@@ -658,15 +662,15 @@
 
 def test_late_outcome_reaches_policy_but_not_client() -> None:
     async def test() -> None:
-        peer = await FakeServer(never_respond).start()
-        async with run_node(peer) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer(never_respond).start()
+        async with run_node(server) as fixture:
+            client = await fixture.connect_client()
             client.writer.write(build_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
-            stand.node.answer(stand.node.last_id, 502)
-            stand.node.pool.cancel(stand.node.last_id, 0)
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
+            fixture.node.answer(fixture.node.last_id, 502)
+            fixture.node.pool.cancel(fixture.node.last_id, 0)
             assert (await client.read_response())[0] == 502
-            outcome: Outcome = await stand.next_outcome()
+            outcome: Outcome = await fixture.next_outcome()
             assert outcome.over and outcome.result == Result.CANCELLED
 
     run(test())
@@ -674,23 +678,25 @@
 
 def test_request_with_too_short_timeout_is_refused_at_once() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            assert (await (await stand.connect_client()).send_request(build_request(timeout="20m")))[0] == 503
-            assert peer.requests.empty()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            assert (await (await fixture.connect_client()).send_request(build_request(timeout="20m")))[
+                0
+            ] == 503
+            assert server.requests.empty()
 
     run(test())
 
 
 def test_keyed_request_that_may_have_run_is_retried_with_its_key() -> None:
     async def test() -> None:
-        peers = [await FakeServer(abort_connection).start(), await FakeServer(abort_connection).start()]
-        async with run_node(*peers, max_attempts=4) as stand:
-            stand.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
+        servers = [await FakeServer(abort_connection).start(), await FakeServer(abort_connection).start()]
+        async with run_node(*servers, max_attempts=4) as fixture:
+            fixture.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             data = build_request("book")
-            assert (await (await stand.connect_client()).send_request(data))[0] == 503
-            for peer in peers:
-                forwarded = await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            assert (await (await fixture.connect_client()).send_request(data))[0] == 503
+            for server in servers:
+                forwarded = await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
                 assert header_value(forwarded, b"Idempotency-Key") == b"5c0f"
                 assert header_value(forwarded, b"Request-Id") == header_value(data, b"Request-Id")
 
@@ -699,12 +705,12 @@
 
 def test_server_connection_idle_for_too_long_is_not_reused() -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer, idle_timeout_ms=0.0) as stand:
-            client = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server, idle_timeout_ms=0.0) as fixture:
+            client = await fixture.connect_client()
             for _ in range(2):
                 assert (await client.send_request(build_request()))[0] == 200
-            assert peer.connection_count == 2
+            assert server.connection_count == 2
 
     run(test())
 
@@ -715,15 +721,15 @@
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
     last: dict[asyncio.StreamWriter, float] = {}
 
-    async def short_lived(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def short_lived(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         if clock[0] - last.get(writer, clock[0]) > 100:
             writer.transport.abort()
         last[writer] = clock[0]
         writer.write(OK_RESPONSE)
 
     async def test() -> None:
-        async with run_node(await FakeServer(short_lived).start()) as stand:
-            client, answers = await stand.connect_client(), []
+        async with run_node(await FakeServer(short_lived).start()) as fixture:
+            client, answers = await fixture.connect_client(), []
             for _ in range(8):
                 for _ in range(8):
                     clock[0] += server_connections.REST
@@ -750,16 +756,16 @@
 
 def test_longest_idle_client_is_evicted_at_descriptor_limit() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start(), sockets=96) as stand:
-            limit = stand.node.listener.max_connections
-            clients = [await stand.connect_client() for _ in range(limit)]
+        async with run_node(await FakeServer().start(), sockets=96) as fixture:
+            limit = fixture.node.listener.max_connections
+            clients = [await fixture.connect_client() for _ in range(limit)]
             for client in clients:
                 assert (await client.send_request(build_request()))[0] == 200
-            newest = await stand.connect_client()
+            newest = await fixture.connect_client()
             assert (await newest.send_request(build_request()))[0] == 200
             assert await clients[0].read_until_close() == b""
             assert (await clients[1].send_request(build_request()))[0] == 200
-            assert len(stand.node.listener.connections) == limit
+            assert len(fixture.node.listener.connections) == limit
 
     run(test())
 
@@ -767,28 +773,28 @@
 @pytest.mark.parametrize("ask", [False, True])
 def test_lingering_connections_count_against_descriptor_limit(ask: bool) -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start(), sockets=96) as stand:
-            listener, max_open = stand.node.listener, 0
+        async with run_node(await FakeServer().start(), sockets=96) as fixture:
+            listener, max_open = fixture.node.listener, 0
             clients = []
             for _ in range(2 * listener.max_connections):
-                clients.append(await stand.connect_client())
+                clients.append(await fixture.connect_client())
                 if ask:
                     assert (await clients[-1].send_request(build_request()))[0] == 200
                 max_open = max(max_open, len(listener.connections) + len(listener.lingering))
             assert max_open <= listener.max_connections
-            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 200
+            assert (await (await fixture.connect_client()).send_request(build_request()))[0] == 200
 
     run(test())
 
 
 def test_server_connections_stay_under_their_limit() -> None:
     async def test() -> None:
-        peers = [await FakeServer(never_respond).start() for _ in range(3)]
-        async with run_node(*peers) as stand:
-            stand.node.pool.max_connections = 0
-            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 503
-            assert (await stand.next_outcome()).result == Result.UNREACHABLE
-            assert not any(peer.connection_count for peer in peers)
+        servers = [await FakeServer(never_respond).start() for _ in range(3)]
+        async with run_node(*servers) as fixture:
+            fixture.node.pool.max_connections = 0
+            assert (await (await fixture.connect_client()).send_request(build_request()))[0] == 503
+            assert (await fixture.next_outcome()).result == Result.UNREACHABLE
+            assert not any(server.connection_count for server in servers)
 
     run(test())
 
@@ -797,8 +803,8 @@
     monkeypatch.setattr(client_connections, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            client = await stand.connect_client()
+        async with run_node(await FakeServer().start()) as fixture:
+            client = await fixture.connect_client()
             assert (await client.send_request(b"GET /find/1 HTTP/1.1\r\nHost:"))[0] == 408
             assert await client.read_until_close() == b""
 
@@ -815,8 +821,8 @@
     monkeypatch.setattr(client_connections, "SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            valid, invalid = await stand.connect_client(), await stand.connect_client()
+        async with run_node(await FakeServer().start()) as fixture:
+            valid, invalid = await fixture.connect_client(), await fixture.connect_client()
             assert (await valid.send_request(build_request()))[0] == 200
             invalid.writer.write(data)
             await invalid.read_until_close()
@@ -827,16 +833,16 @@
 
 def test_connections_without_valid_request_are_evicted_first() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start(), sockets=96) as stand:
-            limit = stand.node.listener.max_connections
-            valid = await stand.connect_client()
+        async with run_node(await FakeServer().start(), sockets=96) as fixture:
+            limit = fixture.node.listener.max_connections
+            valid = await fixture.connect_client()
             assert (await valid.send_request(build_request()))[0] == 200
-            clients = [await stand.connect_client() for _ in range(limit)]
+            clients = [await fixture.connect_client() for _ in range(limit)]
             for client in clients[-5:]:
                 assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             assert await clients[0].read_until_close() == b""
             assert (await valid.send_request(build_request()))[0] == 200
-            assert len(stand.node.listener.connections) <= limit
+            assert len(fixture.node.listener.connections) <= limit
 
     run(test())
 
@@ -847,23 +853,23 @@
     monkeypatch.setattr(client_connections, "FIRST_REQUEST_STALL_S", 1.0)
 
     async def test() -> None:
-        async with run_node(await FakeServer().start(), sockets=96) as stand:
-            limit = stand.node.listener.max_connections
-            idle = await stand.connect_client()
+        async with run_node(await FakeServer().start(), sockets=96) as fixture:
+            limit = fixture.node.listener.max_connections
+            idle = await fixture.connect_client()
             assert (await idle.send_request(build_request()))[0] == 200
-            stopped, slow, silent = [await stand.connect_client() for _ in range(3)]
+            stopped, slow, silent = [await fixture.connect_client() for _ in range(3)]
             stopped.writer.write(build_request()[:20])
             data = build_request()
             for i in range(0, len(data), 16):
                 slow.writer.write(data[i : i + 16])
                 await asyncio.sleep(0.15)
                 if i == 128:  # the stalled client is over the limit by now
-                    clients = [await stand.connect_client() for _ in range(limit - 4)]
+                    clients = [await fixture.connect_client() for _ in range(limit - 4)]
                     for client in clients:
                         assert (await client.send_request(build_request()))[0] == 200
                     for first in (silent, stopped, idle):
                         assert not first.reader.at_eof()
-                        newest = await stand.connect_client()
+                        newest = await fixture.connect_client()
                         assert (await newest.send_request(build_request()))[0] == 200
                         assert await first.read_until_close() == b""
             assert (await slow.read_response())[0] == 200
@@ -873,10 +879,10 @@
 
 def test_connections_use_tcp_nodelay() -> None:
     async def test() -> None:
-        async with run_node(await FakeServer().start()) as stand:
-            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 200
-            (client,) = stand.node.listener.connections
-            (server,) = stand.node.pool.servers[stable_id(b"s-1")].idle
+        async with run_node(await FakeServer().start()) as fixture:
+            assert (await (await fixture.connect_client()).send_request(build_request()))[0] == 200
+            (client,) = fixture.node.listener.connections
+            (server,) = fixture.node.pool.servers[stable_id(b"s-1")].idle
             for connection in (client, server):
                 connection_socket = connection.transport.get_extra_info("socket")
                 assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -891,16 +897,16 @@
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
 def test_node_survives_any_client_input(data: bytes) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            invalid = await stand.connect_client()
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            invalid = await fixture.connect_client()
             invalid.writer.write(data)
             invalid.writer.write_eof()
             with suppress(ConnectionError):  # a reset is allowed too
                 await invalid.read_until_close()
-            assert peer.requests.empty()
-            assert (await (await stand.connect_client()).send_request(build_request()))[0] == 200
-            assert not stand.node.held
+            assert server.requests.empty()
+            assert (await (await fixture.connect_client()).send_request(build_request()))[0] == 200
+            assert not fixture.node.held
 
     run(test())
 
@@ -909,14 +915,14 @@
 @given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
 def test_request_may_arrive_in_parts(cuts: list[int]) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        async with run_node(peer) as stand:
-            client, data = await stand.connect_client(), build_request("book", body=b"x" * 40)
+        server = await FakeServer().start()
+        async with run_node(server) as fixture:
+            client, data = await fixture.connect_client(), build_request("book", body=b"x" * 40)
             offsets = [0, *sorted(cuts), len(data)]
             for start, end in zip(offsets, offsets[1:], strict=False):
                 client.writer.write(data[start:end])
                 await asyncio.sleep(0)
             assert (await client.read_response())[0] == 200
-            assert (await peer.requests.get()).endswith(b"x" * 40)
+            assert (await server.requests.get()).endswith(b"x" * 40)
 
     run(test())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -108,25 +108,25 @@
 def test_sigterm_serves_pending_and_new_requests(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await respond_ok(peer, head, writer)
+        await respond_ok(server, head, writer)
 
     async def test(script: ResponseScript) -> None:
-        peer = await FakeServer(script).start()
-        agent = await FakeDiscovery([peer.list_entry()]).start()
+        server = await FakeServer(script).start()
+        agent = await FakeDiscovery([server.list_entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path) as (node, port):
             pending, idle = await connect(port), await connect(port)
             assert (await idle.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             pending.writer.write(build_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
             node.send_signal(signal.SIGTERM)
             assert await idle.read_until_close() == b""  # an idle connection is closed
             newcomer = await connect(port)  # new ones are still accepted
             newcomer.writer.write(build_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
             release.set()
             for waiting in (pending, newcomer):
                 status, head, _ = await waiting.read_response()
@@ -139,8 +139,8 @@
 
 def test_sighup_moves_watch_and_keeps_connections(tmp_path: Path) -> None:
     async def test() -> None:
-        peer, later = await FakeServer().start(), await FakeServer().start()
-        first = await FakeDiscovery([peer.list_entry()]).start()
+        server, later = await FakeServer().start(), await FakeServer().start()
+        first = await FakeDiscovery([server.list_entry()]).start()
         second = await FakeDiscovery([later.list_entry()], generation=2).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{first.port}"}))
@@ -158,7 +158,7 @@
                 await asyncio.wait_for(second.request_targets.get(), TIMEOUT_S)
                 == "/catalog/members?watch=1&from=1"
             )
-            second.push_update(2, [peer.list_entry(lifecycle="left"), later.list_entry("s-2")])
+            second.push_update(2, [server.list_entry(lifecycle="left"), later.list_entry("s-2")])
             while "list 2" not in await log_line(node):
                 pass
             assert (await client.send_request(build_request()))[0] == 200
@@ -192,13 +192,13 @@
 ) -> None:
     release = asyncio.Event()
 
-    async def delayed_response(peer: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
+    async def delayed_response(server: FakeServer, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
-        await respond_ok(peer, head, writer)
+        await respond_ok(server, head, writer)
 
     async def test() -> None:
-        peer = await FakeServer(delayed_response).start()
-        agent = await FakeDiscovery([peer.list_entry()]).start()
+        server = await FakeServer(delayed_response).start()
+        agent = await FakeDiscovery([server.list_entry()]).start()
         raw = raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}
         if not ready:
             raw["discovery"] = "127.0.0.1:1"  # nothing listens there: the node never gets a list
@@ -211,7 +211,7 @@
             else:
                 client = await connect(port)
                 client.writer.write(build_request())
-                await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+                await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
             for number in signals:
                 node.send_signal(number)
             if ready:
@@ -229,8 +229,8 @@
 
 def test_unfinished_requests_get_responses_before_node_ends(tmp_path: Path) -> None:
     async def test() -> None:
-        peer = await FakeServer().start()
-        agent = await FakeDiscovery([peer.list_entry()]).start()
+        server = await FakeServer().start()
+        agent = await FakeDiscovery([server.list_entry()]).start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(raw_config() | {"discovery": f"127.0.0.1:{agent.port}"}))
         async with running_process(path) as (node, port):
