--- a/flaxstep/proxy/__main__.py
+++ b/flaxstep/proxy/__main__.py
@@ -34,7 +34,7 @@
     def on_signal(self) -> None:
         """Read the configuration file again, now and until it is valid."""
         log.info("SIGHUP: reloading the configuration")
-        self.node.expect_move()
+        self.node.mark_discovery_moved()
         if self.retry_timer is not None:
             self.retry_timer.cancel()
         self.read_file(reported_error="")
--- a/flaxstep/proxy/node.py
+++ b/flaxstep/proxy/node.py
@@ -1,7 +1,7 @@
-"""The join: turns what happens on the sockets into events, and the module's actions into what is done.
+"""Connects the network side of a node with its routing policy.
 
-It decides nothing. Actions are carried out in the order in which the module gives them; events that
-arise meanwhile wait for their turn.
+Network events become events of the policy, and the policy's actions are carried out in the order in which it
+returns them; events that occur meanwhile are queued. No routing decision is made here.
 """
 
 from __future__ import annotations
@@ -62,197 +62,210 @@
     Withdrawn,
 )
 
-# ms kept back from a client's time, for the way there. Clients may give only 40 ms in all, and a final answer
-# from a late loop has the rule's slack besides.
-MARGIN = 10.0
-SPARE_SOCKETS = 64  # descriptors for listeners, discovery, files, callers, and connections that are closing
-BODIES = 8  # the part of the memory that bodies in hand may take: one in so many
-FIRST_LIST = 1.0  # s that a process with a list from before waits for a discovery that is down
-START_MOST = 5.0  # s after which it says that it is ready, whatever discovery does
-ACCEPT_FOR = 0.6  # s after SIGTERM during which new connections are accepted
-TAKE_FOR = 0.7  # s after SIGTERM in which requests still come: SIGKILL follows a deadline and this long after
-DRAIN_MOST = 60.0  # s after SIGTERM at which the node ends though a client still has not taken its answer
-SHARED_LOOK = 0.1  # s between looks at what another process of this node has written
-LISTEN_FOR = 8.0  # s from the start for which the node tries to listen: it has to be ready within 10 s
-LISTEN_AGAIN = 0.1  # s between those tries
-SHORTAGES = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN})
-LOGGED_CHANGES = 4  # endpoints that a line about a list names
-DRAIN_LOOK = 0.02  # s between looks whether all clients are answered
+# Subtracted from a client's timeout for the way back to it. Clients may give only 40 ms in all, and the rule
+# on final responses allows some slack for a late event loop besides.
+CLIENT_TIMEOUT_MARGIN_MS = 10.0
+# For listeners, discovery, files, admin connections, and connections that are closing.
+RESERVED_DESCRIPTORS = 64
+BODY_MEMORY_DIVISOR = 8  # buffered bodies may use one eighth of the memory limit
+CACHED_LIST_WAIT_S = 1.0  # for discovery, if the node has a list from before its restart
+MAX_STARTUP_WAIT_S = 5.0  # the node reports that it is ready after this, even without discovery
+ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections are accepted for this long
+# Requests are read for this long after SIGTERM. SIGKILL may follow this time plus the longest deadline.
+READ_AFTER_SIGTERM_S = 0.7
+MAX_DRAIN_S = 60.0  # after SIGTERM: the node exits even if a client has not read its response
+SHARED_STATE_POLL_S = 0.1
+MAX_LISTEN_RETRY_S = 8.0  # from the start: the node has to be ready within 10 s
+LISTEN_RETRY_DELAY_S = 0.1
+RESOURCE_SHORTAGE_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EAGAIN})
+MAX_LOGGED_ENDPOINTS = 4  # in the log line about a list
+DRAIN_POLL_S = 0.02
 
 log = logging.getLogger("flaxstep.proxy")
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request whose final response has not been sent completely."""
 
     client: ClientConnection
     message: ForwardedRequest
     cls: int
-    due: float  # while its body comes: the latest that it can become
-    timeout: float  # ms that the client gives from the last byte of its request
-    uploading: bool = False  # its body still comes: it is not taken yet
-    sends: int = 0
-    attempt: Attempt | None = None  # whose answer is passed on as it comes
+    deadline: float  # monotonic ms; while the body is uploaded, its upper bound
+    timeout_ms: float  # given by the client, from the last byte of its request
+    uploading: bool = False  # the body has not been received completely
+    attempt_count: int = 0
+    streaming_attempt: Attempt | None = None  # whose response is streamed to the client
 
 
 def connection_limits(sockets: int) -> tuple[int, int]:
-    """Connections of clients and to servers. A third for servers: few requests are in flight at once, but
-    clients keep what they have opened."""
-    left = sockets - min(SPARE_SOCKETS, sockets // 4)
+    """Return the maximum numbers of client connections and of server connections.
+
+    Servers get a third: few requests are in flight at a time, but clients keep their connections open.
+    """
+    left = sockets - min(RESERVED_DESCRIPTORS, sockets // 4)
     return left - left // 3, left // 3
 
 
 class Node:
+    """One node: its listeners, its connections to servers and discovery, and its routing policy."""
+
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
         self.policy = Policy(config.settings, config.seed)
         self.clock = WallClock()
-        self.held: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.last_id = 0
         self.events: deque[Event] = deque()
-        self.handling = False
-        self.healthy = False  # a list has come
-        self.quiesced = self.stopping = False  # the two ways to drain: by hand, and for good
-        self.server: asyncio.Server | None = None
-        self.door: asyncio.Server | None = None
-        self.watch: asyncio.Task[None] | None = None
-        self.listed: set[int] = set()  # servers in the list
-        self.told = asyncio.Event()  # discovery has given a list
-        self.born = loop.time()
+        self.dispatching = False
+        self.healthy = False  # a server list has been read
+        self.quiesced = self.stopping = False  # drained by an operator; shutting down
+        self.client_listener: asyncio.Server | None = None
+        self.admin_listener: asyncio.Server | None = None
+        self.discovery_task: asyncio.Task[None] | None = None
+        self.listed_servers: set[int] = set()  # by id
+        self.list_confirmed = asyncio.Event()  # discovery has confirmed the list once
+        self.started_at = loop.time()
         clients, servers = connection_limits(config.sockets)
-        self.figures = Metrics(name.decode("latin-1") for name in config.classes)
-        self.by_server = ServerMetrics(self.figures.classes)
-        self.body_budget = BodyBudget((config.memory_mb << 20) // BODIES)
+        self.metrics = Metrics(name.decode("latin-1") for name in config.classes)
+        self.server_metrics = ServerMetrics(self.metrics.classes)
+        self.body_budget = BodyBudget((config.memory_mb << 20) // BODY_MEMORY_DIVISOR)
         self.pool = ServerPool(
             loop,
             config.dial_timeout_ms,
             config.idle_timeout_ms,
             servers,
             self,
-            self.figures,
+            self.metrics,
             self.body_budget,
         )
         self.listener = Listener(loop, config, self, clients, self.body_budget)
-        self.lists = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
+        self.list_reader = MemberListReader(config.zones, config.kinds, self.clock, stable_id)
         self.discovery = Discovery(
             config.discovery,
-            self.take_list,
-            self.take_reach,
+            self.on_list,
+            self.on_reach,
             random.Random(config.seed),
             loop,
             pushed=not config.settings.ask_for_list,
         )
-        self.perform: dict[type[Action], Callable[[Any], None]] = {
-            Send: self.send,
-            Limit: self.limit,
-            Refuse: self.refuse,
-            Fail: self.fail,
-            Cancel: self.cancel,
-            Wake: self.wake,
-            Log: self.log,
-            Subscribe: self.subscribe,
+        self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
+            Send: self.send_attempt,
+            Limit: self.limit_attempt,
+            Refuse: self.refuse_request,
+            Fail: self.fail_request,
+            Cancel: self.cancel_attempt,
+            Wake: self.schedule_timer,
+            Log: self.log_text,
+            Subscribe: self.ignore_subscribe,
         }
-        self.handover = SharedState(config.shared_folder, config.name, self.take_shared)
+        self.shared_state = SharedState(config.shared_folder, config.name, self.on_operator_state_change)
         if config.admin is not None:
-            self.handover.start()  # before the list: who is out must not be sent anything
-        self.tell(DiscoveryReach(Reach.STARTED))
+            self.shared_state.start()  # before the list: nothing may be sent to cordoned servers
+        self.dispatch_event(DiscoveryReach(Reach.STARTED))
         if config.known_list.get("instances"):
             try:
-                self.discovery.version = self.take_members(config.known_list, ListKind.CACHED)
+                self.discovery.version = self.apply_list(config.known_list, ListKind.CACHED)
             except ValueError as error:
-                log.warning("the known list is malformed: %s", error)
+                log.warning("the server list in the configuration is malformed: %s", error)
 
-    # Events in, actions out.
+    # Events to the policy, and its actions.
 
-    def tell(self, event: Event) -> None:
-        """Give the policy an event, after those that wait already."""
+    def dispatch_event(self, event: Event) -> None:
+        """Pass an event to the policy, after the events that are queued, and carry out its actions."""
         self.events.append(event)
-        if self.handling:
+        if self.dispatching:
             return
-        self.handling = True
+        self.dispatching = True
         try:
             while self.events:
                 event = self.events.popleft()
                 try:
                     for action in self.policy.handle(now_ms(), event):
-                        self.perform[type(action)](action)
+                        self.action_handlers[type(action)](action)
                 except Exception:
-                    # One request must not take the node down with it; it still is owed an answer.
+                    # A failure on one request must not end the node, and the request still needs a response.
                     log.exception("the policy failed on %s", type(event).__name__)
                     if isinstance(event, Request | Outcome):
-                        self.answer(event.id, 500)
+                        self.send_final_response(event.id, 500)
                     elif isinstance(event, Timer):
-                        self.answer(event.token, 500)
+                        self.send_final_response(event.token, 500)
         finally:
-            self.handling = False
+            self.dispatching = False
 
-    def send(self, action: Send) -> None:
-        held = self.held[action.id]
-        number, held.sends = held.sends, held.sends + 1
-        limit = held.due - now_ms()
+    def send_attempt(self, action: Send) -> None:
+        pending = self.pending_requests[action.id]
+        number, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
+        limit = pending.deadline - now_ms()
         if action.limit:
             limit = min(limit, action.limit)
-        self.pool.send(action.id, number, action.server, limit, action.within, held.message)
-
-    def limit(self, action: Limit) -> None:
-        self.pool.limit(action.id, action.attempt, action.limit)
-
-    def refuse(self, action: Refuse) -> None:
-        self.log_final("refused", action)
-        self.answer(action.id, 503, b"Retry-After: %.3f\r\n" % (action.wait / 1000) if action.wait else b"")
-
-    def fail(self, action: Fail) -> None:
-        self.log_final("failed", action)
-        self.answer(action.id, 502)
-
-    def log_final(self, name: str, action: Refuse | Fail) -> None:
-        held = self.held.get(action.id)
-        if held is not None:
-            client_id = held.message.request_id
-            log_event(name, request=client_id, cause=action.cause.value, attempts=held.sends)
-
-    def answer(self, request_id: int, status: int, extra: bytes = b"") -> None:
-        held = self.release(request_id)
-        if held is not None:
-            log_event("answered", request=held.message.request_id, status=status)
-            self.figures.ended(held.cls, status)
-            held.client.send_response(status, extra_headers=extra)
-
-    def release(self, request_id: int) -> PendingRequest | None:
-        """Nothing is owed any more, and no connection that still comes up carries the request."""
-        held = self.held.pop(request_id, None)
-        if held is not None:
-            for number in range(held.sends):
-                self.pool.unsend(request_id, number)
-        return held
-
-    def cancel(self, action: Cancel) -> None:
+        self.pool.send(action.id, number, action.server, limit, action.within, pending.message)
+
+    def limit_attempt(self, action: Limit) -> None:
+        self.pool.set_timeout(action.id, action.attempt, action.limit)
+
+    def refuse_request(self, action: Refuse) -> None:
+        self.log_unserved("refused", action)
+        self.send_final_response(
+            action.id, 503, b"Retry-After: %.3f\r\n" % (action.wait / 1000) if action.wait else b""
+        )
+
+    def fail_request(self, action: Fail) -> None:
+        self.log_unserved("failed", action)
+        self.send_final_response(action.id, 502)
+
+    def log_unserved(self, name: str, action: Refuse | Fail) -> None:
+        pending = self.pending_requests.get(action.id)
+        if pending is not None:
+            client_id = pending.message.request_id
+            log_event(name, request=client_id, cause=action.cause.value, attempts=pending.attempt_count)
+
+    def send_final_response(self, request_id: int, status: int, extra: bytes = b"") -> None:
+        pending = self.remove_request(request_id)
+        if pending is not None:
+            log_event("answered", request=pending.message.request_id, status=status)
+            self.metrics.record_outcome(pending.cls, status)
+            pending.client.send_response(status, extra_headers=extra)
+
+    def remove_request(self, request_id: int) -> PendingRequest | None:
+        """Remove a request that is over, with those of its attempts that still wait for a connection."""
+        pending = self.pending_requests.pop(request_id, None)
+        if pending is not None:
+            for number in range(pending.attempt_count):
+                self.pool.cancel_unsent(request_id, number)
+        return pending
+
+    def cancel_attempt(self, action: Cancel) -> None:
         self.pool.cancel(action.id, action.attempt)
 
-    def wake(self, action: Wake) -> None:
-        # Rounded up: a timer that rings early finds nothing due and would be set again at once.
-        self.loop.call_later(math.ceil(action.delay) / 1000, self.tell, Timer(action.token))
+    def schedule_timer(self, action: Wake) -> None:
+        # Rounded up: a timer that fires too early finds nothing due, and would be set again at once.
+        self.loop.call_later(math.ceil(action.delay) / 1000, self.dispatch_event, Timer(action.token))
 
-    def log(self, action: Log) -> None:
+    def log_text(self, action: Log) -> None:
         log.info("%s", action.text)
 
-    def subscribe(self, action: Subscribe) -> None:
-        """Nothing to do: the node watches the list from its start."""
+    def ignore_subscribe(self, action: Subscribe) -> None:
+        """Nothing to do: the node watches the server list from its start."""
 
-    # From clients.
+    # Client connections: calls of the listener.
 
     def accept_request(self, client: ClientConnection, request: ClientRequest) -> None:
+        """Register a request and pass it to the policy."""
         self.last_id += 1
         request_id = client.request_id = self.last_id
         upload = request.message.upload
         uploading = upload is not None and not upload.complete
-        due = max(request.sent_at_ms, now_ms() if upload is not None else 0.0) + request.timeout_ms - MARGIN
+        deadline = (
+            max(request.sent_at_ms, now_ms() if upload is not None else 0.0)
+            + request.timeout_ms
+            - CLIENT_TIMEOUT_MARGIN_MS
+        )
         if uploading:
-            due += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
-        self.held[request_id] = PendingRequest(
-            client, request.message, request.cls, due, request.timeout_ms, uploading
+            deadline += 1000 * MAX_REQUEST_BODY_BYTES / MIN_UPLOAD_BYTES_PER_S
+        self.pending_requests[request_id] = PendingRequest(
+            client, request.message, request.cls, deadline, request.timeout_ms, uploading
         )
         cls, key, tenant = request.cls, request.key, request.tenant
         log_event(
@@ -260,150 +273,179 @@
             request=request.message.request_id,
             connection=client.descriptor,
             cls=cls,
-            ms_left=due - now_ms(),
+            ms_left=deadline - now_ms(),
         )
-        self.tell(
+        self.dispatch_event(
             Request(
-                request_id, cls, due, key, tenant, request.work_hint_ms, request.is_client_retry, uploading
+                request_id,
+                cls,
+                deadline,
+                key,
+                tenant,
+                request.work_hint_ms,
+                request.is_client_retry,
+                uploading,
             )
         )
 
     def upload_complete(self, client: ClientConnection, request_id: int) -> None:
-        held = self.held.get(request_id)
-        if held is None:
+        """The request's body has been received completely: its deadline is known from now on."""
+        pending = self.pending_requests.get(request_id)
+        if pending is None:
             return
-        held.uploading = False
-        if held.attempt is None:  # else its answer has begun already
-            held.due = now_ms() + held.timeout - MARGIN
-            self.tell(Uploaded(request_id, held.due))
+        pending.uploading = False
+        if pending.streaming_attempt is None:  # otherwise its response is streamed already
+            pending.deadline = now_ms() + pending.timeout_ms - CLIENT_TIMEOUT_MARGIN_MS
+            self.dispatch_event(Uploaded(request_id, pending.deadline))
 
     def client_gone(self, request_id: int) -> None:
-        held = self.release(request_id)
-        if held is None:
+        """The client has closed its connection before the response was complete."""
+        pending = self.remove_request(request_id)
+        if pending is None:
             return
-        self.tell(Withdrawn(request_id))
-        if held.attempt is not None:  # its answer is the client's: with the client it ends
-            self.pool.drop(held.attempt, Result.CANCELLED)
-
-    def pause_response(self, request_id: int, hold: bool) -> None:
-        held = self.held.get(request_id)
-        if held is not None and held.attempt is not None and held.attempt.connection is not None:
-            held.attempt.connection.hold_answer(hold)
-
-    # From servers.
-
-    def attempt_ended(self, attempt: Attempt, result: Result, answer: ServerResponse | None) -> None:
-        request_id, held = attempt.request_id, self.held.get(attempt.request_id)
-        if held is not None and held.attempt is attempt:
-            del self.held[request_id]
+        self.dispatch_event(Withdrawn(request_id))
+        if pending.streaming_attempt is not None:  # its response has no other receiver
+            self.pool.abort_attempt(pending.streaming_attempt, Result.CANCELLED)
+
+    def pause_response(self, request_id: int, paused: bool) -> None:
+        """Stop reading a streamed response while the client reads nothing, or read on."""
+        pending = self.pending_requests.get(request_id)
+        if (
+            pending is not None
+            and pending.streaming_attempt is not None
+            and pending.streaming_attempt.connection is not None
+        ):
+            pending.streaming_attempt.connection.pause_reading_response(paused)
+
+    # Server connections: calls of the pool.
+
+    def attempt_ended(self, attempt: Attempt, result: Result, response: ServerResponse | None) -> None:
+        """Finish the request if this attempt has its response, and report the outcome to the policy."""
+        request_id, pending = attempt.request_id, self.pending_requests.get(attempt.request_id)
+        if pending is not None and pending.streaming_attempt is attempt:
+            del self.pending_requests[request_id]
             if result is Result.OK:
-                self.figures.ended(held.cls, 200)
-                held.client.end_response()
+                self.metrics.record_outcome(pending.cls, 200)
+                pending.client.end_response()
             else:
-                self.figures.ended(held.cls, 502)
-                held.client.abort_response()
-        elif held is not None and result is Result.OK and answer is not None:
-            del self.held[request_id]
-            log_event("answered", request=held.message.request_id, status=200)
-            self.figures.ended(held.cls, 200)
-            held.client.send_response(200, answer.body, answer.content_type)
-        over, elapsed = request_id not in self.held, now_ms() - attempt.started
+                self.metrics.record_outcome(pending.cls, 502)
+                pending.client.abort_response()
+        elif pending is not None and result is Result.OK and response is not None:
+            del self.pending_requests[request_id]
+            log_event("answered", request=pending.message.request_id, status=200)
+            self.metrics.record_outcome(pending.cls, 200)
+            pending.client.send_response(200, response.body, response.content_type)
+        request_over, elapsed = request_id not in self.pending_requests, now_ms() - attempt.started
         log_event(
             "attempt_ended",
             request=attempt.message.request_id,
             attempt=attempt.number,
             endpoint=attempt.server.id,
             result=result.name.lower(),
-            written=attempt.written,
+            written=attempt.request_written,
             ms=elapsed,
         )
-        if held is not None and result is not Result.CANCELLED:
-            self.by_server.ended(attempt.server.id, held.cls, result, elapsed)
+        if pending is not None and result is not Result.CANCELLED:
+            self.server_metrics.record_attempt(attempt.server.id, pending.cls, result, elapsed)
         upload = attempt.message.upload
         spent = upload is not None and upload.partly_sent
-        self.tell(Outcome(request_id, attempt.server.id, over, result, attempt.number, elapsed, spent=spent))
+        self.dispatch_event(
+            Outcome(request_id, attempt.server.id, request_over, result, attempt.number, elapsed, spent=spent)
+        )
 
-    def response_started(self, attempt: Attempt, length: int | None, content_type: bytes) -> None:
-        request_id, held = attempt.request_id, self.held.get(attempt.request_id)
-        if held is None:  # it is over: nobody waits for the answer
-            self.pool.drop(attempt, Result.CANCELLED)
+    def response_started(self, attempt: Attempt, content_length: int | None, content_type: bytes) -> None:
+        """Start streaming a response to the client."""
+        request_id, pending = attempt.request_id, self.pending_requests.get(attempt.request_id)
+        if pending is None:  # the request is over
+            self.pool.abort_attempt(attempt, Result.CANCELLED)
             return
-        held.attempt = attempt
+        pending.streaming_attempt = attempt
         elapsed = now_ms() - attempt.started
-        self.tell(Began(request_id, attempt.number, attempt.server.id, elapsed))
-        held.client.begin_response(length, content_type)
+        self.dispatch_event(Began(request_id, attempt.number, attempt.server.id, elapsed))
+        pending.client.begin_response(content_length, content_type)
 
-    def response_chunk(self, attempt: Attempt, part: bytes) -> None:
-        held = self.held.get(attempt.request_id)
-        if held is not None:
-            held.client.write_response_chunk(part)
+    def response_chunk(self, attempt: Attempt, chunk: bytes) -> None:
+        """Pass a chunk of a streamed response to the client."""
+        pending = self.pending_requests.get(attempt.request_id)
+        if pending is not None:
+            pending.client.write_response_chunk(chunk)
 
-    # From discovery.
+    # Discovery.
 
-    def take_list(self, raw: Any, whole: bool) -> int | None:
-        """Take over what a call has brought: its version. ValueError, and nothing taken, if it is no list."""
-        return self.take_members(raw, ListKind.FULL if whole else None)
+    def on_list(self, raw: Any, full_list: bool) -> int | None:
+        """Apply a list from discovery and return its version. ValueError, and no change, if it is no list."""
+        return self.apply_list(raw, ListKind.FULL if full_list else None)
 
-    def take_members(self, raw: Any, kind: ListKind | None) -> int | None:
-        members = self.lists.read(raw, kind)
+    def apply_list(self, raw: Any, kind: ListKind | None) -> int | None:
+        """Apply a list to the pool, the policy and the metrics; see on_list."""
+        members = self.list_reader.read(raw, kind)
         endpoints = members.endpoints
-        # The pool first hears of who is new: the module may send to them while it is told.
+        # New servers are added to the pool first: the policy may send to them while it handles the list.
         for endpoint in endpoints:
             if endpoint.entry.state is State.READY and endpoint.entry.id not in self.pool.servers:
-                self.update_pool(endpoint)
-        # Then the module: what it sends on because of the list must not go to whom the list takes out.
-        self.tell(ServerList(members.kind, members.version or 0, [each.entry for each in endpoints]))
+                self.update_endpoint(endpoint)
+        # The policy gets the list before the pool removes or changes servers: that ends attempts, and the
+        # policy must not retry them on servers that this list removes.
+        self.dispatch_event(
+            ServerList(members.kind, members.version or 0, [each.entry for each in endpoints])
+        )
         if members.kind is not ListKind.DELTA:
-            named = {endpoint.entry.id for endpoint in endpoints}
-            for server_id in self.listed - named:
-                gone = self.pool.servers[server_id]
-                self.pool.update(server_id, gone.address, State.GONE, gone.started)
-                self.by_server.forget(server_id)
-            self.listed &= named
+            listed_ids = {endpoint.entry.id for endpoint in endpoints}
+            for server_id in self.listed_servers - listed_ids:
+                removed = self.pool.servers[server_id]
+                self.pool.update(server_id, removed.address, State.GONE, removed.started)
+                self.server_metrics.remove_server(server_id)
+            self.listed_servers &= listed_ids
         for endpoint in endpoints:
-            self.update_pool(endpoint)
+            self.update_endpoint(endpoint)
             if endpoint.entry.state is State.GONE:
-                self.listed.discard(endpoint.entry.id)
-                self.by_server.forget(endpoint.entry.id)
+                self.listed_servers.discard(endpoint.entry.id)
+                self.server_metrics.remove_server(endpoint.entry.id)
             else:
-                self.listed.add(endpoint.entry.id)
-                self.by_server.listed(endpoint.entry.id, endpoint.name, endpoint.started_at)
+                self.listed_servers.add(endpoint.entry.id)
+                self.server_metrics.add_server(endpoint.entry.id, endpoint.name, endpoint.started_at)
         if endpoints or members.kind is not ListKind.DELTA:
             self.log_list(members)
         self.healthy = True
         return members.version
 
-    def update_pool(self, endpoint: Endpoint) -> None:
+    def update_endpoint(self, endpoint: Endpoint) -> None:
+        """Update one endpoint in the pool."""
         entry = endpoint.entry
         self.pool.update(entry.id, endpoint.address, entry.state, entry.started)
 
     def log_list(self, members: MemberList) -> None:
-        first = members.endpoints[:LOGGED_CHANGES]
-        changed = ", ".join(f"{each.name} {each.entry.state.name.lower()}" for each in first)
-        left = len(members.endpoints) - len(first)
-        more = f" and {left} more" if left else ""
+        logged = members.endpoints[:MAX_LOGGED_ENDPOINTS]
+        changes = ", ".join(f"{each.name} {each.entry.state.name.lower()}" for each in logged)
+        unlogged = len(members.endpoints) - len(logged)
+        more = f" and {unlogged} more" if unlogged else ""
         version = "without a version" if members.version is None else members.version
-        log.info("list %s, %s: %s%s", version, members.kind.name.lower(), changed, more)
+        log.info("list %s, %s: %s%s", version, members.kind.name.lower(), changes, more)
 
-    def take_reach(self, reach: Reach, since: float) -> None:
-        """How the connection to discovery stands: for how long the list may be routed by is the module's."""
+    def on_reach(self, reach: Reach, since: float) -> None:
+        """Pass on the state of the connection to discovery: the policy decides how long the list is valid."""
         if reach is Reach.CONFIRMED:
-            self.told.set()
+            self.list_confirmed.set()
         lease, now = self.policy.lease, now_ms()
-        held, before = lease.is_valid(now), lease.expires - now
-        self.tell(DiscoveryReach(reach, since))
+        was_valid, before = lease.is_valid(now), lease.expires - now
+        self.dispatch_event(DiscoveryReach(reach, since))
         left = lease.expires - now
-        if reach is not Reach.CONFIRMED or not held:  # a line for each beat of a watch would hide the rest
+        # No line for each confirmation: a watch sends one with every heartbeat.
+        if reach is not Reach.CONFIRMED or not was_valid:
             log.info("list lease: %s; %.3f s left, %.3f before", reach.value, left / 1000, before / 1000)
-        if held != lease.is_valid(now_ms()):
-            log.info("the list %s: discovery is %s", "has run out" if held else "holds again", reach.value)
+        if was_valid != lease.is_valid(now_ms()):
+            log.info(
+                "server list %s (%s)",
+                "expired: requests are refused until discovery confirms it" if was_valid else "valid again",
+                reach.value,
+            )
 
-    # From operators.
+    # Operators: calls of the admin server.
 
-    def calls(self) -> dict[bytes, tuple[bytes, Callable[[bytes], Reply]]]:
+    def admin_calls(self) -> dict[bytes, tuple[bytes, Callable[[bytes], Reply]]]:
         return {
-            b"/admin/health": (b"GET", self.tell_health),
-            b"/admin/stats": (b"GET", self.report),
+            b"/admin/health": (b"GET", self.report_health),
+            b"/admin/stats": (b"GET", self.report_stats),
             b"/admin/servers": (b"GET", self.report_servers),
             b"/admin/cordon": (b"POST", self.cordon),
             b"/admin/uncordon": (b"POST", self.uncordon),
@@ -417,127 +459,145 @@
 
     @property
     def ready(self) -> bool:
-        return self.healthy and self.informed and self.server is not None and not self.draining
+        return self.healthy and self.list_wait_over and self.client_listener is not None and not self.draining
 
     @property
-    def informed(self) -> bool:
-        """Whether a list from before a restart has been confirmed, or there is no waiting for that any more.
+    def list_wait_over(self) -> bool:
+        """Whether the node need not wait any longer for discovery to confirm the list from before a restart.
 
-        Where lists are pushed, what discovery has counts as told from a process's first moment.
+        If lists are pushed, changes in discovery count as notified from the start of a process.
         """
-        if self.config.settings.ask_for_list or self.told.is_set():
+        if self.config.settings.ask_for_list or self.list_confirmed.is_set():
             return True
-        age = self.loop.time() - self.born
-        return age >= START_MOST or (age >= FIRST_LIST and self.policy.lease.is_valid(now_ms()))
+        age = self.loop.time() - self.started_at
+        return age >= MAX_STARTUP_WAIT_S or (
+            age >= CACHED_LIST_WAIT_S and self.policy.lease.is_valid(now_ms())
+        )
 
-    def tell_health(self, _: bytes) -> Reply:
+    def report_health(self, _: bytes) -> Reply:
         if self.ready:
             return 200, "ready"
         if self.stopping:
             return 503, "stopping"
         return 503, "quiesced" if self.quiesced else "starting"
 
-    def report(self, _: bytes) -> Reply:
-        avoided = self.listed & self.policy.find_avoided_servers(now_ms())
+    def report_stats(self, _: bytes) -> Reply:
+        avoided = self.listed_servers & self.policy.find_avoided_servers(now_ms())
         gauges = {
-            "outstanding": sum(not held.uploading for held in self.held.values())
+            "outstanding": sum(not pending.uploading for pending in self.pending_requests.values())
             + self.listener.count_queued_requests(),
-            "discovered": len(self.listed),
+            "discovered": len(self.listed_servers),
             "ejected": len(avoided),
         }
-        return 200, self.figures.lines(gauges)
+        return 200, self.metrics.to_statsd(gauges)
 
     def report_servers(self, _: bytes) -> Reply:
-        out = Counter(attempt.server.id for attempt in self.pool.attempts.values())
-        self.handover.look()  # the other process may have been called
-        return 200, self.by_server.report(out, self.handover.shared.cordoned)
+        outstanding = Counter(attempt.server.id for attempt in self.pool.attempts.values())
+        self.shared_state.refresh()  # the call may have gone to the other process
+        return 200, self.server_metrics.report(outstanding, self.shared_state.state.cordoned)
 
     def cordon(self, body: bytes) -> Reply:
-        return self.change_shared(
-            body, "cordoned", lambda shared, name: shared.without(name), self.handover.leave_out
+        """Send nothing new to the server that the body names, until it is uncordoned."""
+        return self.change_operator_state(
+            body, "cordoned", lambda state, name: state.with_cordoned(name), self.shared_state.cordon_unsaved
         )
 
     def uncordon(self, body: bytes) -> Reply:
+        """Use the server again. It counts as restarted now, so it starts cold."""
         now = now_ms()
 
-        def edit(shared: OperatorState, name: str) -> OperatorState:
-            if name not in shared.cordoned:
-                return shared
+        def edit(state: OperatorState, name: str) -> OperatorState:
+            if name not in state.cordoned:
+                return state
             warm = now - self.config.settings.ramp_time
             forget = {
-                other for other, at in shared.returned.items() if self.handover.returned_at(other, at) <= warm
+                other
+                for other, at in state.returned.items()
+                if self.shared_state.return_time(other, at) <= warm
             }
-            return shared.with_back(name, self.handover.stamp_return(name, now), forget)
+            return state.with_returned(name, self.shared_state.record_return(name, now), forget)
 
-        return self.change_shared(body, "serves again", edit)
+        return self.change_operator_state(body, "uncordoned", edit)
 
-    def change_shared(
+    def change_operator_state(
         self,
         body: bytes,
-        done: str,
+        result: str,
         edit: Callable[[OperatorState, str], OperatorState],
-        not_kept: Callable[[str], None] | None = None,
+        on_save_failure: Callable[[str], None] | None = None,
     ) -> Reply:
-        """Carry a call out; `not_kept` is told the server's name if the change can't be written down."""
+        """Apply a call of an operator; `on_save_failure` gets the server's name if it can't be saved."""
         try:
             name = body.decode().strip()
         except UnicodeDecodeError:
-            return 400, "the body is no server's id"
+            return 400, "the body is not UTF-8 text"
         if not name:
-            return 400, "the body must be a server's id"
-        self.handover.look()  # the other process may have been called first
-        # One that restarts may be missing from the list just now: who is out is known all the same.
-        if stable_id(name.encode()) not in self.listed and name not in self.handover.shared.cordoned:
+            return 400, "the body must be the id of a server"
+        self.shared_state.refresh()  # the other process may have changed it
+        # A server that restarts may be missing from the list, but can still be uncordoned.
+        if (
+            stable_id(name.encode()) not in self.listed_servers
+            and name not in self.shared_state.state.cordoned
+        ):
             return 404, f"no server {name} is listed"
         try:
-            self.handover.change(lambda shared: edit(shared, name))
+            self.shared_state.apply_change(lambda state: edit(state, name))
         except OSError as error:
-            log.warning("%s: not %s: %s", name, done, error)
-            if not_kept is None:
-                return 503, f"not kept, so not done: {error}"
-            not_kept(name)
-            return 503, f"out here and not kept yet: {error}"
-        return 200, f"{name} {done}"
-
-    def take_shared(self, before: OperatorState, shared: OperatorState) -> None:
-        """What operators have said here or at another process holds from now on."""
-        for name in sorted(shared.cordoned - before.cordoned):
+            log.warning("server %s can't be saved as %s: %s", name, result, error)
+            if on_save_failure is None:
+                return 503, f"not saved, so not changed: {error}"
+            on_save_failure(name)
+            return 503, f"cordoned in this process, not saved yet: {error}"
+        return 200, f"{name} {result}"
+
+    def on_operator_state_change(self, old: OperatorState, new: OperatorState) -> None:
+        """Apply the changes of operators, made at this process or at another one of this node."""
+        for name in sorted(new.cordoned - old.cordoned):
             server_id = stable_id(name.encode())
             log.info("%s is out", name)
-            self.tell(Cordon(server_id))
+            self.dispatch_event(Cordon(server_id))
             self.pool.cordon(server_id)
-        for name, at in sorted(shared.returned.items()):
-            if before.returned.get(name) != at:
+        for name, at in sorted(new.returned.items()):
+            if old.returned.get(name) != at:
                 log.info("%s is back", name)
-                self.tell(Uncordon(stable_id(name.encode()), self.handover.returned_at(name, at)))
-
-    def look_at_shared(self) -> None:
-        self.loop.call_later(SHARED_LOOK, self.look_at_shared)
-        two = self.handover.others
-        self.handover.look()
-        if self.handover.others != two:
-            log.info("the node is %s", "two processes" if self.handover.others else "one process again")
-            self.share_room()
-
-    def share_room(self) -> None:
-        """Two processes are one node: each keeps to half of what it may hold."""
-        parts = 2 if self.handover.others else 1
-        self.body_budget.total_bytes = (self.config.memory_mb << 20) // BODIES // parts
-        clients, servers = connection_limits(self.config.sockets // parts)
+                self.dispatch_event(
+                    Uncordon(stable_id(name.encode()), self.shared_state.return_time(name, at))
+                )
+
+    def poll_shared_state(self) -> None:
+        """Read the shared state at regular intervals, and adjust the limits when a process comes or goes."""
+        self.loop.call_later(SHARED_STATE_POLL_S, self.poll_shared_state)
+        had_others = self.shared_state.others_running
+        self.shared_state.refresh()
+        if self.shared_state.others_running != had_others:
+            log.info(
+                "%s",
+                "another process of this node is running: each uses half of the limits"
+                if self.shared_state.others_running
+                else "this is the node's only process again",
+            )
+            self.update_limits()
+
+    def update_limits(self) -> None:
+        """Set the memory and connection limits: with two processes, each uses half of the node's."""
+        process_count = 2 if self.shared_state.others_running else 1
+        self.body_budget.total_bytes = (self.config.memory_mb << 20) // BODY_MEMORY_DIVISOR // process_count
+        clients, servers = connection_limits(self.config.sockets // process_count)
         self.listener.set_limit(clients)
         self.pool.set_limit(servers)
 
     def quiesce(self, _: bytes) -> Reply:
-        """Empty the node: its clients come back elsewhere. What is held and what still comes is served."""
+        """Drain the node: its clients reconnect elsewhere. Pending and new requests are still served."""
         if not self.quiesced:
             self.quiesced = True
-            log.info("quiesced: %d requests held", len(self.held))
+            log.info("quiesced: %d requests pending", len(self.pending_requests))
             self.listener.close_idle()
         return 200, "quiesced"
 
     def resume(self, _: bytes) -> Reply:
+        """End the drain that quiesce began."""
         if self.stopping:
-            return 409, "stopping: there is no way back"
+            return 409, "stopping: the node can't resume"
         if self.quiesced:
             self.quiesced = False
             log.info("resumed")
@@ -546,75 +606,80 @@
     # Start and stop.
 
     async def start(self) -> None:
+        """Start the admin server, discovery and the client listener."""
         if self.config.admin is not None:
-            door, address = AdminServer(self.loop, self.calls()), self.config.admin
-            self.door = await self.persist(lambda: door.start(address))
-            self.look_at_shared()
-        self.watch = self.loop.create_task(self.discovery.run())
-        while not self.handover.looked and self.loop.time() - self.born < START_MOST:
-            await asyncio.sleep(SHARED_LOOK)  # who is out may stand there
-        if self.handover.others:
-            await self.wait_to_succeed()
-        self.server = await self.persist(self.listener.start)
-        log.info("%s listens on %s:%d", self.config.name, *self.server.sockets[0].getsockname()[:2])
-
-    async def persist(self, listen: Callable[[], Awaitable[asyncio.Server]]) -> asyncio.Server:
-        """Listen, and try again while the system is short of what that takes."""
+            admin_server, address = AdminServer(self.loop, self.admin_calls()), self.config.admin
+            self.admin_listener = await self.listen_with_retry(lambda: admin_server.start(address))
+            self.poll_shared_state()
+        self.discovery_task = self.loop.create_task(self.discovery.run())
+        while not self.shared_state.fully_read and self.loop.time() - self.started_at < MAX_STARTUP_WAIT_S:
+            await asyncio.sleep(SHARED_STATE_POLL_S)  # it may hold cordons
+        if self.shared_state.others_running:
+            await self.wait_for_list()
+        self.client_listener = await self.listen_with_retry(self.listener.start)
+        log.info("%s listens on %s:%d", self.config.name, *self.client_listener.sockets[0].getsockname()[:2])
+
+    async def listen_with_retry(self, listen: Callable[[], Awaitable[asyncio.Server]]) -> asyncio.Server:
+        """Call `listen` again while it fails for a shortage of system resources."""
         while True:
             try:
                 return await listen()
             except OSError as error:
-                if error.errno not in SHORTAGES or self.loop.time() - self.born > LISTEN_FOR:
+                if (
+                    error.errno not in RESOURCE_SHORTAGE_ERRNOS
+                    or self.loop.time() - self.started_at > MAX_LISTEN_RETRY_S
+                ):
                     raise
                 log.warning("not listening yet: %s", error)
-            await asyncio.sleep(LISTEN_AGAIN)
+            await asyncio.sleep(LISTEN_RETRY_DELAY_S)
 
-    async def wait_to_succeed(self) -> None:
-        """While the old process serves, nothing may come to this one that it can't serve as well."""
-        self.share_room()
+    async def wait_for_list(self) -> None:
+        """Listen only once this process can serve as well as the old one, which still serves."""
+        self.update_limits()
         with suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_LIST if self.healthy else None):
-                await self.told.wait()
+            async with asyncio.timeout(CACHED_LIST_WAIT_S if self.healthy else None):
+                await self.list_confirmed.wait()
 
-    def expect_move(self) -> None:
-        """SIGHUP: the time in which the old address tells anything runs from now, readable file or not."""
-        self.take_reach(Reach.MOVED, now_ms())
+    def mark_discovery_moved(self) -> None:
+        """SIGHUP: from now on the old address serves for a fixed time, even if the file can't be read yet."""
+        self.on_reach(Reach.MOVED, now_ms())
 
     def move_discovery(self, address: Address) -> None:
-        """Follow the list at another address from now on; the version held says where to go on."""
+        """Watch the list at another address from now on, starting from the version that the node has."""
         if address == self.discovery.address:
             return
-        log.info("discovery moves to %s:%d", *address)
-        self.discovery.move(address)
-        if self.watch is not None:
-            self.watch.cancel()
-            self.watch = self.loop.create_task(self.discovery.run())
+        log.info("discovery address changed to %s:%d", *address)
+        self.discovery.change_address(address)
+        if self.discovery_task is not None:
+            self.discovery_task.cancel()
+            self.discovery_task = self.loop.create_task(self.discovery.run())
 
     async def drain(self) -> None:
-        """Take what still comes, answer all that is held, then end."""
-        self.stopping, begun = True, self.loop.time()
-        log.info("stopping: %d requests held", len(self.held))
-        if self.server is not None:
+        """Accept what still arrives for a while, answer all pending requests, then close."""
+        self.stopping, started = True, self.loop.time()
+        log.info("stopping: %d requests pending", len(self.pending_requests))
+        if self.client_listener is not None:
             self.listener.close_idle()
-            await asyncio.sleep(ACCEPT_FOR)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.listener.stop_accepting()
-        # Whoever has not sent its whole request by then can't have its time before SIGKILL may come.
-        await self.emptied(begun + TAKE_FOR)
+        # A request that is incomplete by then might not reach its deadline before SIGKILL.
+        await self.wait_until_empty(started + READ_AFTER_SIGTERM_S)
         self.listener.reject_unfinished_requests()
-        await self.emptied(begun + DRAIN_MOST)
-        self.close()  # the list is followed to the end: what is held may still be sent again
+        await self.wait_until_empty(started + MAX_DRAIN_S)
+        self.close()  # the list is watched until here, as pending requests may be retried
         log.info("stopped")
 
-    async def emptied(self, until: float) -> None:
-        """Wait until all clients have their answers and have closed, or until then by the loop's clock."""
+    async def wait_until_empty(self, until: float) -> None:
+        """Wait until all client connections are closed, at most until this time of the loop's clock."""
         while self.listener.has_clients and self.loop.time() < until:
             self.listener.close_idle()
-            await asyncio.sleep(DRAIN_LOOK)
+            await asyncio.sleep(DRAIN_POLL_S)
 
     def close(self) -> None:
-        for server in (self.server, self.door):
+        """Close the listeners and stop watching discovery."""
+        for server in (self.client_listener, self.admin_listener):
             if server is not None:
                 server.close()
-        if self.watch is not None:
-            self.watch.cancel()
-        self.handover.close()
+        if self.discovery_task is not None:
+            self.discovery_task.cancel()
+        self.shared_state.close()
--- a/flaxstep/simulator/staged_rollout.py
+++ b/flaxstep/simulator/staged_rollout.py
@@ -86,8 +86,8 @@
         server = self.simulation.servers[attempt.server]
         metrics = self.metrics_of(process)
         if attempt.server not in metrics.servers:
-            metrics.listed(attempt.server, str(attempt.server), server.started_at)
-        metrics.ended(attempt.server, attempt.cls, result, elapsed_ms)
+            metrics.add_server(attempt.server, str(attempt.server), server.started_at)
+        metrics.record_attempt(attempt.server, attempt.cls, result, elapsed_ms)
 
     def on_request_finished(self, process: SimulatedNode, cls: int, result_index: int) -> None:
         """A request was served (0), refused (1) or failed (2)."""
@@ -136,19 +136,21 @@
         servers = {}
         for number, started_at in started.items():
             server_metrics = metrics.servers.get(number)
-            if server_metrics is not None and round(server_metrics.started) != started_at:
-                metrics.listed(number, str(number), float(started_at))
+            if server_metrics is not None and round(server_metrics.started_at) != started_at:
+                metrics.add_server(number, str(number), float(started_at))
                 server_metrics = None
             classes = {}
             for cls, name in enumerate(self.classes):
                 if server_metrics is None:
                     classes[name] = ResponseCounters()
                     continue
-                duration_counts = Counter({b: n for b, n in enumerate(server_metrics.took[cls]) if n})
+                duration_counts = Counter(
+                    {b: n for b, n in enumerate(server_metrics.latency_counts[cls]) if n}
+                )
                 classes[name] = ResponseCounters(
                     duration_counts.total(),
                     server_metrics.failed[cls],
-                    server_metrics.unstarted[cls],
+                    server_metrics.not_started[cls],
                     duration_counts,
                 )
             servers[str(number)] = ServerCounters(
--- a/tests/net.py
+++ b/tests/net.py
@@ -244,12 +244,12 @@
         return status, text.decode()
 
     async def connect_admin(self) -> RawClient:
-        assert self.node.door is not None
-        return RawClient(*await asyncio.open_connection(*self.node.door.sockets[0].getsockname()))
+        assert self.node.admin_listener is not None
+        return RawClient(*await asyncio.open_connection(*self.node.admin_listener.sockets[0].getsockname()))
 
     async def connect_client(self) -> RawClient:
-        assert self.node.server is not None
-        return RawClient(*await asyncio.open_connection(*self.node.server.sockets[0].getsockname()))
+        assert self.node.client_listener is not None
+        return RawClient(*await asyncio.open_connection(*self.node.client_listener.sockets[0].getsockname()))
 
 
 @asynccontextmanager
@@ -268,7 +268,7 @@
     await node.start()
     try:
         async with asyncio.timeout(TIMEOUT_S if wait_for_list else None):
-            await (node.told.wait() if wait_for_list else asyncio.sleep(0))
+            await (node.list_confirmed.wait() if wait_for_list else asyncio.sleep(0))
         yield fixture
     finally:
         node.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -24,7 +24,7 @@
 def test_no_admin_port_without_address() -> None:
     async def test() -> None:
         async with run_node(await FakeServer().start()) as fixture:
-            assert fixture.node.door is None
+            assert fixture.node.admin_listener is None
 
     run(test())
 
@@ -129,13 +129,13 @@
             assert (await idle.send_request(build_request()))[0] == 200
             release.clear()
             pending.writer.write(build_request())
-            await wait_until(lambda: len(fixture.node.held) == 1)
+            await wait_until(lambda: len(fixture.node.pending_requests) == 1)
             assert (await fixture.call_admin("POST", "quiesce"))[0] == 200
             assert (await fixture.call_admin("POST", "quiesce"))[0] == 200
             assert await idle.read_until_close() == b""  # closed without a request on it
             newcomer = await fixture.connect_client()  # the client has not switched to another node yet
             newcomer.writer.write(build_request())
-            await wait_until(lambda: len(fixture.node.held) == 2)
+            await wait_until(lambda: len(fixture.node.pending_requests) == 2)
             silent = await fixture.connect_client()
             assert (await (await fixture.connect_client()).send_request(HEALTH))[0] == 503
             assert (await fixture.call_admin("GET", "health"))[0] == 503
@@ -157,7 +157,7 @@
 
 
 def test_drain_ends_quiesced_node_and_rejects_resume(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_FOR", 0.3)
+    monkeypatch.setattr("flaxstep.proxy.node.ACCEPT_AFTER_SIGTERM_S", 0.3)
 
     async def test() -> None:
         async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as fixture:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -116,7 +116,7 @@
             due = (await fixture.next_event(Uploaded)).due  # the timeout starts at the last byte
             assert 0 < due - now_ms() < 8000.0
             assert (await fixture.next_outcome()).result == Result.OK
-            assert fixture.node.body_budget.body_count == 0 and not fixture.node.held
+            assert fixture.node.body_budget.body_count == 0 and not fixture.node.pending_requests
             assert (await client.send_request(b"GET /_health HTTP/1.1\r\n\r\n"))[
                 0
             ] == 200  # the connection stays open
@@ -167,7 +167,7 @@
             assert (outcome.result, outcome.over) == (Result.OK, True)
             assert (
                 fixture.node.body_budget.body_count == 0
-                and not fixture.node.held
+                and not fixture.node.pending_requests
                 and not fixture.node.pool.attempts
             )
             if version == b"HTTP/1.1":
@@ -244,7 +244,7 @@
                 statistics["outstanding"],
                 statistics["forwards"],
             ) == (1, 0, 1)
-            assert not fixture.node.held and fixture.node.body_budget.body_count == 0
+            assert not fixture.node.pending_requests and fixture.node.body_budget.body_count == 0
 
     run(test())
 
@@ -271,7 +271,7 @@
                 before = written[0]
                 await asyncio.sleep(0.2)
             assert before < 32 << 20
-            (pending,) = fixture.node.held.values()
+            (pending,) = fixture.node.pending_requests.values()
             assert pending.client.transport.get_write_buffer_size() <= BUFFERED_BODY_BYTES
             assert (await stats(fixture))["outstanding"] == 1
             client.reader._limit = 1 << 20  # type: ignore[attr-defined]
@@ -279,9 +279,9 @@
             async with asyncio.timeout(TIMEOUT_S):
                 while left > 0:
                     left -= len(await client.reader.read(1 << 20))
-                    if not fixture.node.held:
+                    if not fixture.node.pending_requests:
                         break
-            await wait_until(lambda: not fixture.node.held)
+            await wait_until(lambda: not fixture.node.pending_requests)
             assert (await stats(fixture))["results.find.succeeded"] == 1
 
     run(test())
@@ -311,7 +311,7 @@
 def test_server_that_stops_reading_body_is_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server_connections, "STALL_TIME", 0.3)
+    monkeypatch.setattr(server_connections, "REQUEST_WRITE_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         async with running_controlled_server(max_attempts=3) as (fixture, server):
@@ -378,7 +378,7 @@
             assert (await fixture.next_outcome()).result == Result.CANCELLED
             await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
             assert (
-                not fixture.node.held
+                not fixture.node.pending_requests
                 and not fixture.node.pool.attempts
                 and fixture.node.body_budget.body_count == 0
             )
@@ -405,7 +405,7 @@
             assert await client.read_until_close() == b""
             await asyncio.wait_for(server.ended.wait(), TIMEOUT_S)
             assert (await fixture.next_outcome()).result == Result.CANCELLED
-            assert not fixture.node.pool.attempts and fixture.node.figures.forwards == 0
+            assert not fixture.node.pool.attempts and fixture.node.metrics.forwards == 0
 
     run(test())
 
@@ -461,7 +461,7 @@
             client = await fixture.connect_client()
             client.writer.write(build_request() + upload_request(LARGE_BODY) + build_request())
             await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
-            assert len(fixture.node.held) == 1
+            assert len(fixture.node.pending_requests) == 1
             (connection,) = fixture.node.listener.connections
             await wait_until(lambda: connection.paused_for_upload)  # reading is paused meanwhile
             release.set()
@@ -587,8 +587,8 @@
 
 
 def test_response_that_stops_half_way_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connections, "SILENCE", 0.2)
-    monkeypatch.setattr(server_connections, "SWEEP", 0.05)
+    monkeypatch.setattr(server_connections, "RESPONSE_READ_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(server_connections, "IDLE_SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with run_node(await FakeServer(respond_with(RESPONSES["length"][:500_000])).start()) as fixture:
@@ -619,6 +619,6 @@
             client.writer.transport.abort()
             await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
             await wait_until(lambda: not fixture.node.pool.attempts and not fixture.node.pool.connections)
-            assert not fixture.node.held and fixture.node.body_budget.body_count == 0
+            assert not fixture.node.pending_requests and fixture.node.body_budget.body_count == 0
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -86,11 +86,11 @@
     """A client socket that only does what the test calls for."""
 
     def __init__(self, fixture: NodeFixture, buffer: int = 0) -> None:
-        assert fixture.node.server is not None
+        assert fixture.node.client_listener is not None
         self.socket = socket.socket()
         if buffer:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
-        self.socket.connect(fixture.node.server.sockets[0].getsockname())
+        self.socket.connect(fixture.node.client_listener.sockets[0].getsockname())
         self.socket.setblocking(False)
 
     def send(self, data: bytes) -> None:
@@ -193,7 +193,7 @@
             await wait_until(
                 lambda: not fixture.node.listener.connections and not fixture.node.listener.lingering
             )
-            assert server.requests.empty() and not fixture.node.held
+            assert server.requests.empty() and not fixture.node.pending_requests
 
     run(test())
 
@@ -232,7 +232,7 @@
             fixture.node.listener.reject_unfinished_requests()
             response = await client.receive_until_close()
             assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
-            assert not fixture.node.held and server.requests.empty()
+            assert not fixture.node.pending_requests and server.requests.empty()
 
     run(test())
 
@@ -251,7 +251,7 @@
             assert await client.receive_until_close() == b""
             client.close()
             await wait_until(lambda: not fixture.node.listener.lingering)
-            assert server.requests.qsize() == 1 and not fixture.node.held
+            assert server.requests.qsize() == 1 and not fixture.node.pending_requests
 
     run(test())
 
@@ -303,7 +303,7 @@
             disconnect(client)
             await fixture.next_event(Withdrawn)
             await wait_until(lambda: not fixture.node.listener.connections)
-            assert server.requests.empty() and not fixture.node.held
+            assert server.requests.empty() and not fixture.node.pending_requests
 
     run(test())
 
@@ -336,7 +336,7 @@
             disconnect(client)
             await fixture.next_event(Withdrawn)
             await wait_until(lambda: not fixture.node.listener.connections and not fixture.node.pool.attempts)
-            assert not fixture.node.held
+            assert not fixture.node.pending_requests
 
     run(test())
 
@@ -358,11 +358,13 @@
         async with run_node(listed_server, settings=settings) as fixture:
             client = RawClient(fixture)
             client.send(build_request())
-            await wait_until(lambda: fixture.node.pool.dials == 1)
+            await wait_until(lambda: fixture.node.pool.pending_connects == 1)
             disconnect(client)
             await fixture.next_event(Withdrawn)
             server.start_accepting()
-            await wait_until(lambda: fixture.node.pool.dials == 0 and not fixture.node.pool.attempts)
+            await wait_until(
+                lambda: fixture.node.pool.pending_connects == 0 and not fixture.node.pool.attempts
+            )
             with suppress(TimeoutError):  # a dial that was not cancelled succeeds within a second
                 assert await asyncio.wait_for(server.received.get(), 1.5) == b""
             server.close()
@@ -379,7 +381,7 @@
             client.close()
             await fixture.next_event(Withdrawn)
             await wait_until(lambda: not fixture.node.listener.connections)
-            assert not fixture.node.held
+            assert not fixture.node.pending_requests
 
     run(test())
 
@@ -399,19 +401,19 @@
             policy = fixture.node.policy
             policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             sends: list[int] = []
-            send = fixture.node.send
+            send = fixture.node.send_attempt
 
             def record_send(action: Send) -> None:
                 sends.append(action.server)
                 send(action)
 
-            fixture.node.perform[Send] = record_send
+            fixture.node.action_handlers[Send] = record_send
             policy.choose_endpoint = lambda pending: policy.endpoints[  # type: ignore[method-assign]
                 stable_id(b"s-2" if pending.attempts_sent else b"s-1")
             ]
             client = await fixture.connect_client()
             response_task = asyncio.create_task(client.send_request(build_request("book")))
-            await wait_until(lambda: len(sends) == 2 and fixture.node.pool.dials == 1)
+            await wait_until(lambda: len(sends) == 2 and fixture.node.pool.pending_connects == 1)
             server.start_accepting()
             status, _, _ = await response_task
             assert status != 200
@@ -423,7 +425,7 @@
 
 
 def test_cancelled_attempt_is_closed_before_next_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_connections, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "CONNECTION_REUSE_DELAY_MS", 0.0)
     received_at_start: list[bytes] = []
 
     async def test() -> None:
@@ -447,7 +449,7 @@
                 b"GET "
             )
             target["name"] = b"s-2"
-            start = ServerConnection.start
+            start = ServerConnection.send_request
 
             def check_and_start(self: ServerConnection, attempt: Attempt) -> None:
                 # Raises BlockingIOError while the first attempt is still open.
@@ -455,7 +457,7 @@
                 start(self, attempt)
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(ServerConnection, "start", check_and_start)
+                patch.setattr(ServerConnection, "send_request", check_and_start)
                 fixture.node.pool.cancel(fixture.node.last_id, 0)
             assert (await response_task)[0] == 200
             assert received_at_start == [b""]
@@ -494,13 +496,13 @@
         async with run_node(server) as fixture:
             client, loop = await fixture.connect_client(), asyncio.get_running_loop()
             assert (await client.send_request(build_request()))[0] == 200
-            send = fixture.node.send
+            send = fixture.node.send_attempt
 
             def send_then_withdraw(action: Send) -> None:
                 send(action)
                 loop.call_soon(fixture.node.client_gone, action.id)
 
-            fixture.node.perform[Send] = send_then_withdraw
+            fixture.node.action_handlers[Send] = send_then_withdraw
             client.writer.write(build_request())
             await fixture.next_event(Withdrawn)
             await wait_until(lambda: len(fixture.node.pool.servers[stable_id(b"s-1")].idle) == 1)
@@ -523,10 +525,10 @@
             ]
             client = await fixture.connect_client()
             response_task = asyncio.create_task(client.send_request(build_request("pay")))
-            await wait_until(lambda: fixture.node.pool.dials == 1)
+            await wait_until(lambda: fixture.node.pool.pending_connects == 1)
             fixture.discovery.push_update(2, [listed_server.list_entry("s-1", state)])
             assert (await response_task)[0] == 200  # from the other server, while the first dial still waits
-            assert fixture.node.pool.dials == 0
+            assert fixture.node.pool.pending_connects == 0
             server.start_accepting()
             with suppress(TimeoutError):
                 assert await asyncio.wait_for(server.received.get(), 1.5) == b""
@@ -544,7 +546,7 @@
             fixture.node.policy.random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw prevents a retry
             client = await fixture.connect_client()
             response_task = asyncio.create_task(client.send_request(build_request("pay")))
-            await wait_until(lambda: fixture.node.pool.dials == 1)
+            await wait_until(lambda: fixture.node.pool.pending_connects == 1)
             fixture.discovery.push_update(
                 2, [listed_server.list_entry("s-1", "leaving"), added.list_entry("s-2")]
             )
@@ -562,16 +564,16 @@
         async with run_node(server) as fixture:
             client = await fixture.connect_client()
             assert (await client.send_request(build_request()))[0] == 200
-            send = fixture.node.send
+            send = fixture.node.send_attempt
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                fixture.node.take_list(
+                fixture.node.on_list(
                     {"generation": 2, "reset": False, "instances": [server.list_entry("s-1", "leaving")]},
                     False,
                 )
 
-            fixture.node.perform[Send] = send_then_drain
+            fixture.node.action_handlers[Send] = send_then_drain
             assert (await client.send_request(build_request()))[0] == 503
             await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
             assert server.requests.qsize() == 1 and server.connection_count == 1
@@ -591,20 +593,20 @@
 def test_unread_input_on_idle_connection_prevents_reuse(
     cause_event: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_connections, "REST", 0.0)
+    monkeypatch.setattr(server_connections, "CONNECTION_REUSE_DELAY_MS", 0.0)
 
     async def test() -> None:
         server = RawPeer()
         async with run_node(server) as fixture:
             client = await fixture.connect_client()
             assert (await client.send_request(build_request("pay")))[0] == 200
-            send = fixture.node.send
+            send = fixture.node.send_attempt
 
             def send_after_event(action: Send) -> None:
                 cause_event(server.sockets[0])  # in the same step in which the next attempt is sent
                 send(action)
 
-            fixture.node.perform[Send] = send_after_event
+            fixture.node.action_handlers[Send] = send_after_event
             assert (await client.send_request(build_request("pay")))[
                 0
             ] == 200  # an unsafe request: it could not be retried
@@ -654,7 +656,7 @@
 def test_response_without_length_ends_with_end_of_stream_not_reset(
     end_connection: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server_connections, "HOLD", 60.0)
+    monkeypatch.setattr(server_connections, "UNSIZED_BODY_DELAY_S", 60.0)
 
     class RespondingPeer(RawPeer):
         async def answer(self, sock: socket.socket) -> None:
@@ -689,7 +691,7 @@
             for start in range(0, len(data), part_size or len(data)):
                 agent.watch_lines.put_nowait(data[start : start + part_size] if part_size else data)
             await wait_for_list(fixture, 3)
-            assert fixture.node.listed == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
+            assert fixture.node.listed_servers == {stable_id(b"s-%d" % i) for i in (1, 2, 3)}
             agent.watch_lines.put_nowait(b'  {"generation": 4, "reset": false, "instances": []}\n')
             await wait_for_list(fixture, 4)
             assert calls.empty()  # no list was requested again
@@ -731,7 +733,7 @@
 
 
 def test_incomplete_list_is_replaced_by_full_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PART_TIME", 0.05)
+    monkeypatch.setattr(discovery, "PARTIAL_LIST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with run_node(await FakeServer().start()) as fixture:
@@ -747,8 +749,12 @@
 
 def test_silent_watch_timeouts_leave_time_for_delayed_call() -> None:
     # A change must be known within 6 s of the silence, 6.5 s for drains; a call may wait 3 s until it fails.
-    assert discovery.BEAT + 0.5 <= discovery.SILENCE <= 6.0 + 0.5 - 3.0 - discovery.RETRY_FIRST * 1.5
-    assert discovery.ANSWER_TIME > 3.0
+    assert (
+        discovery.HEARTBEAT_INTERVAL_S + 0.5
+        <= discovery.WATCH_IDLE_TIMEOUT_S
+        <= 6.0 + 0.5 - 3.0 - discovery.MIN_RETRY_DELAY_S * 1.5
+    )
+    assert discovery.RESPONSE_TIMEOUT_S > 3.0
 
 
 def test_eviction_skips_client_that_is_disconnecting(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 
 from flaxstep.proxy import client_connections, discovery, node, server_connections
 from flaxstep.proxy.client_connections import stable_id
-from flaxstep.proxy.node import MARGIN
+from flaxstep.proxy.node import CLIENT_TIMEOUT_MARGIN_MS
 from flaxstep.proxy.server_connections import IdleLimit, ServerConnection
 from flaxstep.proxy.wall_clock import now_ms
 from flaxstep.routing.interface import (
@@ -132,7 +132,7 @@
             assert (header_value(head, b"Retry-After") is None) == (
                 status == 200
             )  # a refusal says when to retry
-            assert not fixture.node.held and not fixture.node.pool.attempts
+            assert not fixture.node.pending_requests and not fixture.node.pool.attempts
 
     run(test())
 
@@ -186,20 +186,20 @@
         server = await FakeServer().start()
         async with run_node(server) as fixture:
             node, client = fixture.node, await fixture.connect_client()
-            send = node.send
+            send = node.send_attempt
 
             def send_then_drain(action: Send) -> None:
                 send(action)
-                fixture.node.take_list(
+                fixture.node.on_list(
                     {"generation": 2, "reset": False, "instances": [server.list_entry("s-1", "leaving")]},
                     False,
                 )
 
-            node.perform[Send] = send_then_drain
+            node.action_handlers[Send] = send_then_drain
             status, _, _ = await client.send_request(build_request())
             assert (status, (await fixture.next_outcome()).result) == (503, Result.UNREACHABLE)
             async with asyncio.timeout(TIMEOUT_S):
-                while node.pool.dials:
+                while node.pool.pending_connects:
                     await asyncio.sleep(0.01)
             assert server.requests.empty() and not node.pool.connections and not node.pool.attempts
 
@@ -279,7 +279,7 @@
             assert (await fixture.next_outcome()).result == Result.CANCELLED
             await asyncio.wait_for(server.closed_connections.get(), TIMEOUT_S)
             node = fixture.node
-            assert not node.held and not node.pool.attempts and not node.listener.connections
+            assert not node.pending_requests and not node.pool.attempts and not node.listener.connections
 
     run(test())
 
@@ -289,18 +289,18 @@
         server = await FakeServer().start()
         async with run_node(server) as fixture:
             pool, client = fixture.node.pool, await fixture.connect_client()
-            send = fixture.node.send
+            send = fixture.node.send_attempt
 
             def send_then_cancel(action: Send) -> None:
                 send(action)
                 asyncio.get_running_loop().call_soon(pool.cancel, action.id, 0)
 
-            fixture.node.perform[Send] = send_then_cancel
+            fixture.node.action_handlers[Send] = send_then_cancel
             assert (await client.send_request(build_request()))[0] == 503
             assert (await fixture.next_outcome()).result == Result.CANCELLED
-            fixture.node.perform[Send] = send
+            fixture.node.action_handlers[Send] = send
             assert (await client.send_request(build_request()))[0] == 200
-            assert pool.dials == 0 and len(pool.connections) == 1 and not pool.attempts
+            assert pool.pending_connects == 0 and len(pool.connections) == 1 and not pool.attempts
 
     run(test())
 
@@ -405,7 +405,7 @@
                 0
             ] == 200
             left = header_value(await server.requests.get(), b"Request-Timeout")
-            assert left is not None and int(left[:-1]) <= 3000 - MARGIN
+            assert left is not None and int(left[:-1]) <= 3000 - CLIENT_TIMEOUT_MARGIN_MS
 
     run(test())
 
@@ -464,7 +464,9 @@
 def test_many_immediate_responses_do_not_nest_calls() -> None:
     async def test() -> None:
         async with run_node(await FakeServer().start()) as fixture:
-            await asyncio.wait_for(fixture.node.told.wait(), TIMEOUT_S)  # before that the node is not ready
+            await asyncio.wait_for(
+                fixture.node.list_confirmed.wait(), TIMEOUT_S
+            )  # before that the node is not ready
             client = await fixture.connect_client()
             client.writer.write(b"GET /_health HTTP/1.1\r\n\r\n" * 3000)
             for _ in range(3000):
@@ -535,7 +537,7 @@
             assert (await client.send_request(build_request()))[0] == 500
             fixture.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.send_request(build_request()))[0] == 200
-            assert not fixture.node.held
+            assert not fixture.node.pending_requests
 
     run(test())
     assert "broken on purpose" in caplog.text
@@ -583,14 +585,14 @@
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 0.05)
+    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with run_node(await FakeServer().start()) as fixture:
             for _ in range(3):
                 call = await asyncio.wait_for(fixture.discovery.request_targets.get(), TIMEOUT_S)
                 assert call == WATCH_TARGET
-            assert fixture.node.healthy and not fixture.node.pool.servers.keys() - fixture.node.listed
+            assert fixture.node.healthy and not fixture.node.pool.servers.keys() - fixture.node.listed_servers
 
     run(test())
 
@@ -632,7 +634,7 @@
         rules = Settings(classes=(SAFE,) * 3, max_attempts=1, ask_for_list=asks, drain_grace=4000 * TIMEOUT_S)
         async with run_node(server, settings=rules) as fixture:
             await asyncio.wait_for(
-                fixture.node.told.wait(), TIMEOUT_S
+                fixture.node.list_confirmed.wait(), TIMEOUT_S
             )  # confirmed by an empty line: no changes
         # From here on discovery stays silent.
         monkeypatch.setattr(discovery.Discovery, "run", lambda self: asyncio.Event().wait())
@@ -641,19 +643,17 @@
             assert (await client.send_request(health))[0] == (200 if asks else 503)
             # Pushed changes since the list from before the restart count as known.
             assert (await client.send_request(build_request()))[0] == (200 if asks else 503)
-            fixture.node.take_list(
+            fixture.node.on_list(
                 {"generation": 2, "reset": True, "instances": [server.list_entry("s-1")]}, True
             )
-            fixture.node.take_reach(Reach.CONFIRMED, now_ms())
+            fixture.node.on_reach(Reach.CONFIRMED, now_ms())
             assert (await client.send_request(health))[0] == 200
             assert (await client.send_request(build_request()))[0] == 200
-        monkeypatch.setattr(node, "FIRST_LIST", 0.0)
+        monkeypatch.setattr(node, "CACHED_LIST_WAIT_S", 0.0)
         async with run_node(server, settings=rules, wait_for_list=False) as fixture:
             client = await fixture.connect_client()
             assert (await client.send_request(health))[0] == (200 if asks else 503)
-            fixture.node.take_reach(
-                Reach.UNREACHABLE, now_ms()
-            )  # discovery is down: the earlier list is used
+            fixture.node.on_reach(Reach.UNREACHABLE, now_ms())  # discovery is down: the earlier list is used
             assert (await client.send_request(health))[0] == 200
             assert (await client.send_request(build_request()))[0] == 200
 
@@ -667,7 +667,7 @@
             client = await fixture.connect_client()
             client.writer.write(build_request())
             await asyncio.wait_for(server.requests.get(), TIMEOUT_S)
-            fixture.node.answer(fixture.node.last_id, 502)
+            fixture.node.send_final_response(fixture.node.last_id, 502)
             fixture.node.pool.cancel(fixture.node.last_id, 0)
             assert (await client.read_response())[0] == 502
             outcome: Outcome = await fixture.next_outcome()
@@ -732,7 +732,7 @@
             client, answers = await fixture.connect_client(), []
             for _ in range(8):
                 for _ in range(8):
-                    clock[0] += server_connections.REST
+                    clock[0] += server_connections.CONNECTION_REUSE_DELAY_MS
                     answers.append((await client.send_request(build_request("pay")))[0])
                 clock[0] += 500
             assert answers.count(502) == 3
@@ -744,14 +744,14 @@
 def test_resets_at_every_idle_time_keep_idle_limit_and_old_ones_expire() -> None:
     limit = IdleLimit(28000.0)
     for step in range(400):
-        limit.note(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
-    assert limit.ms == 28000.0
+        limit.record_use(10.0 if step % 2 else 70.0, reset=step % 20 < 2)
+    assert limit.limit_ms == 28000.0
     for _ in range(100):
-        limit.note(120.0, reset=True)
-    assert limit.ms <= 100.0
+        limit.record_use(120.0, reset=True)
+    assert limit.limit_ms <= 100.0
     for _ in range(60):
-        limit.swept()
-    assert limit.ms == 28000.0
+        limit.on_sweep()
+    assert limit.limit_ms == 28000.0
 
 
 def test_longest_idle_client_is_evicted_at_descriptor_limit() -> None:
@@ -906,7 +906,7 @@
                 await invalid.read_until_close()
             assert server.requests.empty()
             assert (await (await fixture.connect_client()).send_request(build_request()))[0] == 200
-            assert not fixture.node.held
+            assert not fixture.node.pending_requests
 
     run(test())
 
