--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -29,20 +29,25 @@
     run(test())
 
 
-def call(start: bytes, *lines: bytes, body: bytes = b"") -> bytes:
+def build_admin_request(start: bytes, *lines: bytes, body: bytes = b"") -> bytes:
     return b"\r\n".join((start, b"Host: n0", *lines, b"", body))
 
 
 INVALID_CALLS = [
-    (call(b"GET /admin/nothing HTTP/1.1"), 404),
-    (call(b"GET /find/1 HTTP/1.1"), 404),
-    (call(b"DELETE /admin/health HTTP/1.1"), 405),
-    (call(b"GET /admin/quiesce HTTP/1.1"), 405),
-    (call(b"GET /admin/health HTTP/1.1", b"Content-Length: 1", body=b"x"), 400),
-    (call(b"POST /admin/quiesce HTTP/1.1", b"Content-Length: 1", b"Transfer-Encoding: chunked"), 400),
-    (call(b"GET /admin/health HTTP/1.1", b"Connection: upgrade", b"Upgrade: h2c"), 400),
-    (call(b"POST /admin/quiesce HTTP/1.1", b"Content-Length: 9000", body=bytes(9000)), 413),
-    (call(b"GET /admin/health HTTP/1.1", b"X: " + b"a" * 9000), 431),
+    (build_admin_request(b"GET /admin/nothing HTTP/1.1"), 404),
+    (build_admin_request(b"GET /find/1 HTTP/1.1"), 404),
+    (build_admin_request(b"DELETE /admin/health HTTP/1.1"), 405),
+    (build_admin_request(b"GET /admin/quiesce HTTP/1.1"), 405),
+    (build_admin_request(b"GET /admin/health HTTP/1.1", b"Content-Length: 1", body=b"x"), 400),
+    (
+        build_admin_request(
+            b"POST /admin/quiesce HTTP/1.1", b"Content-Length: 1", b"Transfer-Encoding: chunked"
+        ),
+        400,
+    ),
+    (build_admin_request(b"GET /admin/health HTTP/1.1", b"Connection: upgrade", b"Upgrade: h2c"), 400),
+    (build_admin_request(b"POST /admin/quiesce HTTP/1.1", b"Content-Length: 9000", body=bytes(9000)), 413),
+    (build_admin_request(b"GET /admin/health HTTP/1.1", b"X: " + b"a" * 9000), 431),
     (b"GET /" + b"a" * 9000, 431),
     (b"nonsense\r\n\r\n", 400),
 ]
@@ -93,7 +98,9 @@
     async def test() -> None:
         async with run_node(await FakeServer().start(), admin=ADMIN_ADDRESS) as fixture:
             caller = await fixture.connect_admin()
-            data = call(b"GET /admin/health HTTP/1.1") + call(b"POST /admin/quiesce HTTP/1.1")
+            data = build_admin_request(b"GET /admin/health HTTP/1.1") + build_admin_request(
+                b"POST /admin/quiesce HTTP/1.1"
+            )
             for i in range(len(data)):
                 caller.writer.write(data[i : i + 1])
                 await asyncio.sleep(0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -68,9 +68,9 @@
             sock, _ = await loop.sock_accept(self.listener)
             sock.setblocking(False)
             self.sockets.append(sock)
-            self.tasks.append(loop.create_task(self.answer(sock)))
+            self.tasks.append(loop.create_task(self.respond(sock)))
 
-    async def answer(self, sock: socket.socket) -> None:
+    async def respond(self, sock: socket.socket) -> None:
         with suppress(OSError):
             if await asyncio.get_running_loop().sock_recv(sock, 65536):
                 sock.send(OK_RESPONSE)
@@ -659,7 +659,7 @@
     monkeypatch.setattr(server_connections, "UNSIZED_BODY_DELAY_S", 60.0)
 
     class RespondingPeer(RawPeer):
-        async def answer(self, sock: socket.socket) -> None:
+        async def respond(self, sock: socket.socket) -> None:
             await asyncio.get_running_loop().sock_recv(sock, 65536)
             sock.send(b"HTTP/1.1 200 OK\r\n\r\ndone")
             end_connection(sock)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -47,14 +47,16 @@
         read_log_level("loud")
 
 
-FULL = b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+FULL_RESPONSE = (
+    b"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
 
 
 def test_request_id_appears_in_events_up_to_refusal(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG, "flaxstep.proxy.events")
 
     async def test() -> None:
-        async with run_node(await FakeServer(respond_with(FULL)).start()) as fixture:
+        async with run_node(await FakeServer(respond_with(FULL_RESPONSE)).start()) as fixture:
             client = await fixture.connect_client()
             assert (await client.send_request(build_request(Request_Id="9b1f03aa5c7e2d41")))[0] == 503
 
--- a/tests/test_release_cli.py
+++ b/tests/test_release_cli.py
@@ -34,7 +34,7 @@
 """
 
 
-def call(folder: Path, *words: str) -> Result:
+def run_release_command(folder: Path, *words: str) -> Result:
     return CliRunner().invoke(main, ["release", *words, "--farm", str(folder / "farm.toml")])
 
 
@@ -64,7 +64,7 @@
     if farm is not None:
         (folder / "farm.toml").write_text(farm)
     for command in (["status"], ["run", str(folder / "plan.toml")], ["check", str(folder / "plan.toml")]):
-        done = call(folder, *command)
+        done = run_release_command(folder, *command)
         assert done.exit_code == 2 and all(word in done.output for word in words), done.output
         assert len(done.output.splitlines()) == len(words)
 
@@ -76,7 +76,7 @@
         (["check", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not respond"),
         (["run", str(folder / "plan.toml")], "the list service at 127.0.0.1:1 does not respond"),
     ):
-        done = call(folder, *command)
+        done = run_release_command(folder, *command)
         assert done.exit_code == 2 and word in done.output and len(done.output.splitlines()) == 1
 
 
@@ -104,22 +104,22 @@
     store.write_result(
         number, Release(state=State.IN_PROGRESS), members, action, ActionResult(False, "n0: no answer")
     )
-    assert f"process {store.holder().split()[-1]}" in call(folder, "status").output
+    assert f"process {store.holder().split()[-1]}" in run_release_command(folder, "status").output
     store.release_claim()
 
-    status = json.loads(call(folder, "status", "--json").output)
+    status = json.loads(run_release_command(folder, "status", "--json").output)
     assert (status["state"], status["wave"], status["waves"], status["controller"]) == ("under way", 1, 2, "")
     assert [member["id"] for member in status["members"]] == ["s-1", "s-2"]
-    [line] = json.loads(call(folder, "history", "--json").output)
+    [line] = json.loads(run_release_command(folder, "history", "--json").output)
     assert (line["act"], line["member"], line["ok"], line["said"]) == (
         "cordon",
         "s-1",
         False,
         "n0: no answer",
     )
-    assert "no: n0: no answer" in call(folder, "history").output
-    assert call(folder, "close").exit_code == 2  # it is under way
-    paused = call(folder, "pause")
+    assert "no: n0: no answer" in run_release_command(folder, "history").output
+    assert run_release_command(folder, "close").exit_code == 2  # it is under way
+    paused = run_release_command(folder, "pause")
     assert paused.exit_code == 0 and "no controller runs" in paused.output
     assert [what for _, what in store.pending_orders(number)] == ["pause"]
 
@@ -127,6 +127,6 @@
     with store.transaction():
         store.save(number, Release(state=State.HALTED), members)
     store.release_claim()
-    assert call(folder, "close").exit_code == 0
-    assert "is over: halted" in call(folder, "back").output
+    assert run_release_command(folder, "close").exit_code == 0
+    assert "is over: halted" in run_release_command(folder, "back").output
     store.close()
--- a/tests/test_release_judge.py
+++ b/tests/test_release_judge.py
@@ -1,4 +1,4 @@
-"""The canary analysis keeps its false-positive rate over drawn releases, and reports its evidence."""
+"""The canary analysis keeps its false-positive rate over random releases, and reports its evidence."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from benchmarks import releases
 from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, MemberSample
 
-COUNT = 120
+RELEASE_COUNT = 120
 
 
 def samples(
@@ -21,17 +21,17 @@
 
 
 @pytest.mark.parametrize("version", releases.VERSIONS)
-def test_good_versions_go_through_and_bad_ones_are_halted_at_the_canary(version: str) -> None:
-    outcomes = [releases.simulate_release(seed, version) for seed in range(COUNT)]
+def test_good_versions_complete_and_bad_ones_are_halted_at_the_canary(version: str) -> None:
+    outcomes = [releases.simulate_release(seed, version) for seed in range(RELEASE_COUNT)]
     halted = [outcome for outcome in outcomes if outcome.halted_at_sample >= 0]
     if version == "good":
-        assert len(halted) <= 4  # the rate is 1 in 100; 5 of 120 would come once in 140 times at that rate
+        assert len(halted) <= 4  # at a rate of 1 in 100, 5 of 120 are halted in one of 140 runs
         return
-    assert len(halted) >= 0.97 * COUNT
+    assert len(halted) >= 0.97 * RELEASE_COUNT
     assert (
         sorted(outcome.released_members for outcome in halted)[len(halted) // 2] == 1
     )  # the median: the canary alone
-    assert sorted(outcome.harmed_share for outcome in outcomes)[COUNT // 2] < 1 / 200
+    assert sorted(outcome.harmed_share for outcome in outcomes)[RELEASE_COUNT // 2] < 1 / 200
 
 
 def test_load_that_slows_all_members_is_tolerated_and_a_slower_version_is_not() -> None:
--- a/tests/test_release_plan.py
+++ b/tests/test_release_plan.py
@@ -125,12 +125,12 @@
     zones = [wave.zone for wave in planned]
     assert len({*zones}) == 1 + sum(a != b for a, b in zip(zones, zones[1:], strict=False))  # no zone recurs
     assert len(planned[0].members) <= canary
-    whole = sum(member.size for member in farm)
+    farm_size = sum(member.size for member in farm)
     for wave in planned:
-        most = sorted((member.size for member in wave.members), reverse=True)[
+        largest_sizes = sorted((member.size for member in wave.members), reverse=True)[
             : max_out_at_once(plan, wave, farm)
         ]
-        assert sum(most) <= whole * (1 - capacity) + 1e-6 and len(most) <= 3
+        assert sum(largest_sizes) <= farm_size * (1 - capacity) + 1e-6 and len(largest_sizes) <= 3
 
 
 def test_the_plan_s_zones_come_first_in_its_order_and_must_be_there() -> None:
