--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -140,12 +140,12 @@
 def test_full_does_not_prove_that_a_request_never_ran_if_the_settings_say_so() -> None:
     # When 'full' always counted as proof, unsafe requests ran twice (busan-tickets, simulated: 'duplicate' on
     # 6 days).
-    for full_may_have_run, attempts, answer in ((False, 4, "refused"), (True, 1, "failed")):
+    for full_may_have_run, attempt_count, response in ((False, 4, "refused"), (True, 1, "failed")):
         harness = PolicyHarness(make_settings(classes=(UNSAFE,), full_may_have_run=full_may_have_run))
         number = harness.send_request()
         while harness.open_attempts:
             harness.report_outcome(*next(iter(harness.open_attempts)), Result.FULL)
-        assert (len(harness.attempts[number]), harness.final_responses[number]) == (attempts, answer)
+        assert (len(harness.attempts[number]), harness.final_responses[number]) == (attempt_count, response)
 
 
 def test_keyed_request_that_may_have_run_stays_in_its_zone_after_full() -> None:
@@ -159,14 +159,14 @@
         assert harness.final_responses[number] == "failed"
 
 
-def ordered(**changes: object) -> PolicyHarness:
+def make_ordered_harness(**changes: object) -> PolicyHarness:
     return PolicyHarness(make_settings(classes=(ORDERED, ORDERED_SAFE, UNSAFE), **changes))
 
 
 def test_requests_of_a_key_run_one_at_a_time_in_order() -> None:
     # Without queues by key, requests ran out of order (central-rehearsal, simulated: 'order' broken on every
     # day).
-    harness = ordered()
+    harness = make_ordered_harness()
     queue = [harness.send_request(step % 2, key=7) for step in range(3)]
     other, not_in_order = harness.send_request(0, key=8), harness.send_request(2, key=7)
     assert [len(harness.attempts[n]) for n in [*queue, other, not_in_order]] == [1, 0, 0, 1, 1]
@@ -179,12 +179,12 @@
 
 
 def test_requests_without_a_key_do_not_wait() -> None:
-    harness = ordered()
+    harness = make_ordered_harness()
     assert all(harness.attempts[harness.send_request(0, key=0)] for _ in range(4))
 
 
 def test_next_of_a_key_waits_for_open_attempts_of_a_finished_request() -> None:
-    harness = ordered(may_cancel=False)
+    harness = make_ordered_harness(may_cancel=False)
     first, second = harness.send_request(0, key=7), harness.send_request(0, key=7)
     harness.withdraw_request(first)
     assert not harness.attempts[second]
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT, Result.CANCELLED])
 def test_key_pauses_after_an_attempt_that_may_still_be_running(result: Result) -> None:
-    harness = ordered(key_rest=120.0)
+    harness = make_ordered_harness(key_rest=120.0)
     first, second = harness.send_request(0, key=7), harness.send_request(0, key=7)
     harness.report_outcome(first, 0, result)
     harness.advance_time(119.0)
@@ -204,14 +204,14 @@
 
 
 def test_further_attempts_of_a_request_do_not_wait_for_the_pause() -> None:
-    harness = ordered(key_rest=120.0)
+    harness = make_ordered_harness(key_rest=120.0)
     number = harness.send_request(1, key=7)
     harness.report_outcome(number, 0, Result.RESET)
     assert len(harness.attempts[number]) == 2
 
 
 def test_waiting_requests_get_a_response_by_timer_alone() -> None:
-    harness = ordered(may_cancel=False)
+    harness = make_ordered_harness(may_cancel=False)
     first = harness.send_request(0, key=7)
     waiting = harness.send_request(0, key=7)
     harness.withdraw_request(first)
@@ -221,7 +221,7 @@
 
 
 def test_requests_too_far_back_in_a_key_queue_are_refused_early() -> None:
-    harness = ordered()
+    harness = make_ordered_harness()
     for _ in range(200):  # responses take 100 ms
         harness.now += 200
         harness.report_outcome(harness.send_request(2), 0, Result.OK, 100.0)
@@ -233,7 +233,7 @@
 
 
 def test_empty_key_queues_are_dropped() -> None:
-    harness = ordered()
+    harness = make_ordered_harness()
     for key in range(1, 300):
         harness.report_outcome(harness.send_request(0, key=key), 0, Result.OK)
         harness.now += 100
@@ -273,9 +273,9 @@
 
 
 def test_restarted_node_starts_without_requests() -> None:
-    harness = ordered()
+    harness = make_ordered_harness()
     harness.send_request(0, key=7)
-    restarted = ordered()
+    restarted = make_ordered_harness()
     number = restarted.send_request(0, key=7)
     assert len(restarted.attempts[number]) == 1
     assert restarted.policy.handle(restarted.now, Withdrawn(99)) == []
