--- a/flaxstep/cli_faultbench.py
+++ b/flaxstep/cli_faultbench.py
@@ -20,18 +20,18 @@
 from flaxstep.faultbench.fake_service import FaultBenchError
 from flaxstep.faultbench.farm import build_node
 from flaxstep.faultbench.load_generator import (
-    Order,
-    Summary,
+    LoadPlan,
+    LoadSummary,
     parse_class,
     parse_steps,
     parse_target,
     run_load,
 )
 from flaxstep.faultbench.report import write_report
-from flaxstep.faultbench.result import Line, Result, judge_play, write_result
+from flaxstep.faultbench.result import Result, TableRow, judge_play, write_result
 from flaxstep.faultbench.runner import play
 from flaxstep.faultbench.soak.runner import SoakOutcome, soak
-from flaxstep.faultbench.soak.timeline import report
+from flaxstep.faultbench.soak.timeline import describe_breaches
 from flaxstep.simulator.scenario import ScenarioError, read_scenario
 
 OUTCOMES = ("in_time", "late", "refused", "failed", "unserved")
@@ -79,7 +79,7 @@
     numbers = list(range(plays)) if only is None else [only]
     folder = folder_for(out, "soak", seed)
     outcomes = asyncio.run(run_soak(seed, numbers, seconds, side_by_side, folder))
-    not_run = sum(bool(outcome.trouble) for outcome in outcomes)
+    not_run = sum(bool(outcome.not_run_reason) for outcome in outcomes)
     broken = sum(bool(outcome.breaches) for outcome in outcomes)
     click.echo(f"{len(outcomes)} plays: {broken} broke a rule, {not_run} not run; records in {folder}")
     sys.exit(1 if broken or not_run > MAX_NOT_RUN_SHARE * len(outcomes) else 0)
@@ -92,13 +92,15 @@
     outcomes = []
     async for outcome in soak(seed, numbers, seconds, side_by_side, folder):
         outcomes.append(outcome)
-        drawn = outcome.drawn
-        farm = f"{drawn.nodes} nodes, {drawn.servers} servers, {drawn.zones} zones"
-        click.echo(f"play {drawn.number}: {outcome.verdict}; {farm}; {'; '.join(drawn.faults)}")
+        drawn_play = outcome.drawn_play
+        farm = f"{drawn_play.nodes} nodes, {drawn_play.servers} servers, {drawn_play.zones} zones"
+        click.echo(f"play {drawn_play.number}: {outcome.verdict}; {farm}; {'; '.join(drawn_play.faults)}")
         if outcome.breaches:
-            repeat_command = f"flaxstep rig soak --seed {seed} --only {drawn.number} --seconds {seconds:g}"
+            repeat_command = (
+                f"flaxstep rig soak --seed {seed} --only {drawn_play.number} --seconds {seconds:g}"
+            )
             click.echo(f"  again: {repeat_command}")
-            for line in report(outcome.folder / "records", outcome.breaches):
+            for line in describe_breaches(outcome.folder / "records", outcome.breaches):
                 click.echo(f"  {line}")
     return outcomes
 
@@ -155,7 +157,7 @@
     Example: flaxstep load http://127.0.0.1:9000 --rate 200 --for 30 --class submit-build=unsafe
     """
     try:
-        order = Order(
+        plan = LoadPlan(
             targets=[parse_target(url) for url in urls],
             classes=[parse_class(text) for text in classes],
             steps=parse_steps(steps or f"{rate:g}:{seconds:g}"),
@@ -167,21 +169,21 @@
         )
     except FaultBenchError as error:
         raise CommandError(str(error)) from None
-    summary = run_load(order)
+    summary = run_load(plan)
     if as_json:
         click.echo(msgspec.json.encode(summary))
     else:
         show_load(summary)
-    sys.exit(0 if any(count.served for count in summary.classes) else 1)
+    sys.exit(0 if any(counts.served for counts in summary.classes) else 1)
 
 
-def show_load(summary: Summary) -> None:
+def show_load(summary: LoadSummary) -> None:
     columns = ("sent", "served", "refused", "failed", "late", "unsent")
     times = ("p50", "p90", "p99", "p99.9", "max")
     table = Table("class", *columns, *(f"{name} ms" for name in times))
-    for count in summary.classes:
-        latencies = (f"{count.latency_ms[t]:.1f}" if t in count.latency_ms else "" for t in times)
-        table.add_row(count.name, *(str(getattr(count, name)) for name in columns), *latencies)
+    for counts in summary.classes:
+        latencies = (f"{counts.latency_ms[t]:.1f}" if t in counts.latency_ms else "" for t in times)
+        table.add_row(counts.name, *(str(getattr(counts, name)) for name in columns), *latencies)
     console = Console(highlight=False, width=110)
     console.print(table)
     console.print(f"{summary.seconds:.1f} s; sent late by {summary.behind_ms:.1f} ms at most in 99 of 100")
@@ -252,10 +254,10 @@
         f"worst 10 s {verdict.worst_window:.4f} (from {verdict.worst_from} s)"
     )
     table = Table("", "served", *(case.replace("_", " ") for case in OUTCOMES), "p50 ms", "p99 ms")
-    for line in [*result.classes, *result.zones, *result.tens]:
-        latencies = result.latency_ms.get(line.name, {})
+    for row in [*result.classes, *result.zones, *result.tens]:
+        latencies = result.latency_ms.get(row.name, {})
         times = (f"{latencies[p]:.0f}" if p in latencies else "" for p in ("p50", "p99"))
-        table.add_row(line.name, served_share(line), *(str(getattr(line, case)) for case in OUTCOMES), *times)
+        table.add_row(row.name, served_share(row), *(str(getattr(row, case)) for case in OUTCOMES), *times)
     console.print(table)
     console.print(
         f"attempts between zones {result.crossings}; servers slowed {result.slowed}, fallen {result.fell}; "
@@ -270,5 +272,5 @@
     console.print(f"report: {folder / 'report.html'}", soft_wrap=True)
 
 
-def served_share(line: Line) -> str:
-    return f"{line.earned / line.asked:.4f}" if line.asked else "-"
+def served_share(row: TableRow) -> str:
+    return f"{row.earned / row.asked:.4f}" if row.asked else "-"
--- a/flaxstep/cli_release.py
+++ b/flaxstep/cli_release.py
@@ -1,4 +1,4 @@
-"""`flaxstep release`: staged releases of job servers and nodes, with a halt and a way back."""
+"""`flaxstep release`: staged releases of job servers and nodes, with canary analysis, halt and rollback."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from flaxstep.command_error import CommandError
 from flaxstep.rollout.actions import Phase
 from flaxstep.rollout.farm import Farm, read_farm
-from flaxstep.rollout.io.controller import Controller, members_of, open_release
+from flaxstep.rollout.io.controller import Controller, plan_members, resume_or_create_release
 from flaxstep.rollout.io.snapshot_collector import collect_snapshot
-from flaxstep.rollout.io.store import ClaimLost, Kept, Store, StoreError, clock
-from flaxstep.rollout.limits import unfit
-from flaxstep.rollout.plan import Plan, PlanError, at_once, read_plan, waves
+from flaxstep.rollout.io.store import ClaimLost, Store, StoredRelease, StoreError, boot_clock_s
+from flaxstep.rollout.limits import reason_to_wait
+from flaxstep.rollout.plan import Plan, PlanError, max_out_at_once, read_plan, split_into_waves
 from flaxstep.rollout.release import State
 
-STOPPED = 130
-ORDER_TIME = 5.0  # s to wait for a controller's answer to an order
+EXIT_STOPPED = 130
+ORDER_TIMEOUT_S = 5.0  # how long to wait for a controller to process an order
 FARM = click.option(
     "--farm", "farm_path", type=click.Path(path_type=Path), default=Path("farm.toml"), show_default=True,
     help="The farm file.",
@@ -37,16 +37,16 @@
 
 @click.group()
 def release() -> None:
-    """Staged releases: a canary, then waves, judged beside the rest, with a halt and a way back.
+    """Staged releases: a canary, then waves, compared with the other members, with halt and rollback.
 
-    Exit codes: 0 done; 1 it halted, went back or gave up, or there is no room; 2 it can't be done;
-    130 the controller was ended, and 'run' goes on from where it stood.
+    Exit codes: 0 done; 1 it halted, went back or gave up, or 'check' found that it can't begin now;
+    2 the command can't be carried out; 130 the controller was stopped, and 'run' resumes the release.
     """
 
 
 @contextmanager
-def refusing() -> Iterator[None]:
-    """What can't be done is a line (a fault each, of plans), not a traceback."""
+def report_errors() -> Iterator[None]:
+    """Report errors of plans and of the state file as lines, one for each fault, without a traceback."""
     try:
         yield
     except (PlanError, StoreError) as error:
@@ -58,22 +58,22 @@
 @FARM
 @JSON
 def check_command(plan_path: Path, farm_path: Path, as_json: bool) -> None:
-    """Say what each wave of PLAN would do on the live farm, and whether there is room. Nothing is changed.
+    """Show what each wave of PLAN would do on the live farm, and whether it may begin. Changes nothing.
 
     Example: flaxstep release check v2.toml --farm farm.toml
     """
-    with refusing():
+    with report_errors():
         plan, farm = read_plan(plan_path), read_farm(farm_path)
-        found = asyncio.run(survey(farm, plan))
+        found = asyncio.run(survey_plan(farm, plan))
     if as_json:
         click.echo(msgspec.json.encode(found))
     else:
-        show_survey(found)
+        print_survey(found)
     sys.exit(1 if found.reasons else 0)
 
 
 class WaveLine(msgspec.Struct):
-    """What a wave would do."""
+    """What a wave would do, in `check --json`."""
 
     zone: str
     members: list[str]
@@ -83,7 +83,7 @@
 
 
 class Survey(msgspec.Struct):
-    """What `check` found; `reasons` speak against beginning now."""
+    """The result of `check`. `reasons` are why the release should not begin now."""
 
     plan: str
     what: str
@@ -92,26 +92,28 @@
     reasons: list[str]
 
 
-async def survey(farm: Farm, plan: Plan) -> Survey:
-    members = await members_of(farm, plan)
-    view = await collect_snapshot(farm, clock())
+async def survey_plan(farm: Farm, plan: Plan) -> Survey:
+    members = await plan_members(farm, plan)
+    snapshot = await collect_snapshot(farm, boot_clock_s())
     whole = sum(member.size for member in members)
-    lines, reasons = [], [reason] if (reason := unfit(view, plan, None)) else []
-    for number, wave in enumerate(waves(plan, members), 1):
-        count = at_once(plan, wave, members) if plan.what == "servers" else plan.room.out_at_once
+    lines, reasons = [], [reason] if (reason := reason_to_wait(snapshot, plan, None)) else []
+    for number, wave in enumerate(split_into_waves(plan, members), 1):
+        count = max_out_at_once(plan, wave, members) if plan.what == "servers" else plan.room.out_at_once
         largest = sorted((member.size for member in wave.members), reverse=True)[: max(count, 1)]
         left = 1 - sum(largest) / whole if plan.what == "servers" else 1.0
         if not count:
-            reasons.append(f"wave {number}: no room for one: {left:.2f} of the capacity would stay")
+            reasons.append(
+                f"wave {number}: not enough capacity for even one member to be out: {left:.2f} would remain"
+            )
         least = plan.watch.bake_s + -(-len(wave.members) // max(count, 1)) * plan.watch.warm_s
         lines.append(WaveLine(wave.zone, [m.id for m in wave.members], count, round(left, 4), least))
     if plan.what == "servers":
-        taken = [member.id for member in members if view.cordoned(member.id)]
-        reasons += [f"{name} is out by somebody's hand" for name in taken]
+        taken = [member.id for member in members if snapshot.cordoned_anywhere(member.id)]
+        reasons += [f"{name} was cordoned by somebody" for name in taken]
     return Survey(plan.name, plan.what, plan.to, lines, reasons)
 
 
-def show_survey(found: Survey) -> None:
+def print_survey(found: Survey) -> None:
     console = Console(highlight=False, width=110)
     table = Table("wave", "zone", "members", "at once", "capacity left", "takes at least")
     for number, line in enumerate(found.waves, 1):
@@ -122,70 +124,72 @@
     console.print(table)
     for reason in found.reasons:
         console.print(f"not now: {reason}")
-    console.print("not fit to begin" if found.reasons else "there is room; nothing speaks against it now")
+    console.print("the release should not begin now" if found.reasons else "the release can begin now")
 
 
 @release.command("run")
 @click.argument("plan_path", metavar="PLAN", type=click.Path(path_type=Path))
 @FARM
-@click.option("--on-bad", type=click.Choice(["back", "hold"]), help="In place of what the plan says.")
+@click.option("--on-bad", type=click.Choice(["back", "hold"]), help="Overrides on_bad of the plan.")
 def run_command(plan_path: Path, farm_path: Path, on_bad: Literal["back", "hold"] | None) -> None:
-    """Carry PLAN out, or go on with it where a controller that was ended has left it.
+    """Carry out PLAN, or resume it where a controller was stopped.
 
     Example: flaxstep release run v2.toml --farm farm.toml --on-bad hold
     """
-    with refusing():
+    with report_errors():
         plan, farm = read_plan(plan_path), read_farm(farm_path)
         if on_bad is not None:
             watch = msgspec.structs.replace(plan.watch, on_bad=on_bad)
             plan = msgspec.structs.replace(plan, watch=watch)
         store = Store(Path(farm.state))
-        store.take_claim()
-        kept = None
+        store.acquire_claim()
+        stored = None
         try:
-            kept = asyncio.run(carry_out(farm, store, plan, say))
+            stored = asyncio.run(run_release(farm, store, plan, print_line))
         except ClaimLost:
             raise
         except (KeyboardInterrupt, asyncio.CancelledError):
-            click.echo("flaxstep: ended; 'release run' goes on from here", err=True)
+            click.echo("flaxstep: stopped; 'release run' resumes the release", err=True)
         finally:
-            store.leave_claim()
+            store.release_claim()
             store.close()
-    if kept is None:
-        sys.exit(STOPPED)
-    show_end(kept)
-    sys.exit(0 if kept.release.state is State.DONE else 1)
+    if stored is None:
+        sys.exit(EXIT_STOPPED)
+    print_result(stored)
+    sys.exit(0 if stored.release.state is State.DONE else 1)
 
 
-def say(line: str) -> None:
+def print_line(line: str) -> None:
     click.echo(f"{time.strftime('%H:%M:%S')} {line}")
 
 
-async def carry_out(farm: Farm, store: Store, plan: Plan, tell: Callable[[str], None]) -> Kept:
-    this = asyncio.current_task()
-    assert this is not None
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, this.cancel)
-    kept = await open_release(farm, store, plan)
-    controller = Controller(farm, store, kept, tell)
-    controller.pick_up()
+async def run_release(
+    farm: Farm, store: Store, plan: Plan, report_line: Callable[[str], None]
+) -> StoredRelease:
+    task = asyncio.current_task()
+    assert task is not None
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
+    stored = await resume_or_create_release(farm, store, plan)
+    controller = Controller(farm, store, stored, report_line)
+    controller.recover()
     await controller.run()
-    return kept
+    return stored
 
 
-def show_end(kept: Kept) -> None:
-    why = f": {kept.release.why}" if kept.release.why else ""
-    click.echo(f"release {kept.id}, {kept.plan.name}: {kept.release.state.value}{why}")
-    for member in kept.members.values():
+def print_result(stored: StoredRelease) -> None:
+    why = f": {stored.release.why}" if stored.release.why else ""
+    click.echo(f"release {stored.id}, {stored.plan.name}: {stored.release.state.value}{why}")
+    for member in stored.members.values():
         if member.phase not in (Phase.SERVING, Phase.GONE):
             click.echo(f"{member.id} is {member.phase.value}: {member.note}")
 
 
-def newest(farm_path: Path) -> tuple[Store, Kept]:
+def open_newest_release(farm_path: Path) -> tuple[Store, StoredRelease]:
     store = Store(Path(read_farm(farm_path).state), must_exist=True)
-    kept = store.newest()
-    if kept is None:
+    stored = store.newest_release()
+    if stored is None:
         raise StoreError(f"{store.path}: no release has been started on this farm")
-    return store, kept
+    return store, stored
 
 
 class MemberLine(msgspec.Struct):
@@ -200,7 +204,7 @@
 
 
 class Status(msgspec.Struct):
-    """`status --json`. `stake` of `wanted`: how far the judgement is from a halt."""
+    """The newest release, in `status --json`. The version is halted when `stake` reaches `wanted`."""
 
     release: int
     plan: str
@@ -221,27 +225,28 @@
 @FARM
 @JSON
 def status_command(farm_path: Path, as_json: bool) -> None:
-    """Where the newest release of the farm stands."""
-    with refusing():
-        store, kept = newest(farm_path)
-        held, state = store.holder(), kept.release
+    """Show the newest release of the farm."""
+    with report_errors():
+        store, stored = open_newest_release(farm_path)
+        holder, state = store.holder(), stored.release
         store.close()
     members = [
         MemberLine(m.id, m.zone, m.wave + 1, m.version, m.phase.value, m.note)
-        for m in sorted(kept.members.values(), key=lambda m: (m.wave, m.id))
+        for m in sorted(stored.members.values(), key=lambda m: (m.wave, m.id))
     ]
     last = max((line.wave for line in members), default=1)
     status = Status(
-        kept.id, kept.plan.name, state.state.value, state.why, state.waiting, min(state.wave + 1, last), last,
-        round(state.baked, 1), round(state.stake, 3), state.wanted, state.served, held, members,
+        stored.id, stored.plan.name, state.state.value, state.why, state.waiting,
+        min(state.wave + 1, last), last,
+        round(state.baked, 1), round(state.stake, 3), state.wanted, state.served, holder, members,
     )  # fmt: skip
     if as_json:
         click.echo(msgspec.json.encode(status))
     else:
-        show_status(status)
+        print_status(status)
 
 
-def show_status(status: Status) -> None:
+def print_status(status: Status) -> None:
     console = Console(highlight=False, width=110)
     why = f": {status.why}" if status.why else ""
     console.print(f"release {status.release}, {status.plan}: {status.state}{why}")
@@ -250,8 +255,8 @@
         console.print(f"waiting: {status.waiting}")
     served = "unknown" if status.served is None else f"{status.served:.2f}"
     halt = f"{status.stake:.2g} of the {status.wanted:g} that halt it" if status.wanted else "none yet"
-    console.print(f"served of what is asked for: {served}; evidence against the version: {halt}")
-    console.print(f"controller: {status.controller or 'none runs'}")
+    console.print(f"served share of the requested worth: {served}; evidence against the version: {halt}")
+    console.print(f"controller: {status.controller or 'none is running'}")
     table = Table("member", "zone", "wave", "runs", "is", "note")
     for line in status.members:
         table.add_row(line.id, line.zone, str(line.wave), line.version, line.phase, line.note)
@@ -262,10 +267,10 @@
 @FARM
 @JSON
 def history_command(farm_path: Path, as_json: bool) -> None:
-    """Every act of the newest release: when, at whom, and what came of it."""
-    with refusing():
-        store, kept = newest(farm_path)
-        lines = store.history(kept.id)
+    """Show every action of the newest release: when, for which member, and its result."""
+    with report_errors():
+        store, stored = open_newest_release(farm_path)
+        lines = store.history(stored.id)
         store.close()
     if as_json:
         click.echo(msgspec.json.encode(lines))
@@ -274,68 +279,68 @@
     for line in lines:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(line.at))
         took = "" if line.ended is None else f"{line.ended - line.at:.2f} s"
-        result = "under way, or lost" if line.ok is None else "yes" if line.ok else f"no: {line.said}"
+        result = "in progress, or lost" if line.ok is None else "yes" if line.ok else f"no: {line.said}"
         table.add_row(at, line.act, line.member, line.version, took, result)
     Console(highlight=False, width=110).print(table)
 
 
-def order(farm_path: Path, what: str) -> None:
-    """Leave an order, and say what came of it."""
-    with refusing():
-        store, kept = newest(farm_path)
+def send_order(farm_path: Path, what: str) -> None:
+    """Store an order, wait for a controller to process it, and report the result."""
+    with report_errors():
+        store, stored = open_newest_release(farm_path)
         try:
-            if kept.ended is not None:
-                raise CommandError(f"release {kept.id} is over: {kept.release.state.value}")
-            number, end = store.leave_order(kept.id, what), time.monotonic() + ORDER_TIME
+            if stored.ended is not None:
+                raise CommandError(f"release {stored.id} is over: {stored.release.state.value}")
+            number, end = store.add_order(stored.id, what), time.monotonic() + ORDER_TIMEOUT_S
             if not store.holder():
-                click.echo(f"{what}: kept; no controller runs, 'flaxstep release run' carries it out")
+                click.echo(f"{what}: stored; no controller runs, 'flaxstep release run' carries it out")
                 return
-            while (said := store.order_answer(number)) is None and time.monotonic() < end:
+            while (result := store.order_result(number)) is None and time.monotonic() < end:
                 time.sleep(0.1)
         finally:
             store.close()
-    if said is None:
-        raise CommandError(f"{what}: the controller has not answered within {ORDER_TIME:g} s")
-    if said:
-        raise CommandError(f"{what}: no, {said}")
+    if result is None:
+        raise CommandError(f"{what}: the controller has not responded within {ORDER_TIMEOUT_S:g} s")
+    if result:
+        raise CommandError(f"{what}: no, {result}")
     click.echo(f"{what}: done")
 
 
 @release.command("pause")
 @FARM
 def pause_command(farm_path: Path) -> None:
-    """Send nothing further out; what is out comes back."""
-    order(farm_path, "pause")
+    """Pause the release: no further updates begin, and members that are out of service return."""
+    send_order(farm_path, "pause")
 
 
 @release.command("resume")
 @FARM
 def resume_command(farm_path: Path) -> None:
-    """Go on after a pause, a halt, or when it gave up. After a halt the judgement begins anew."""
-    order(farm_path, "resume")
+    """Resume after a pause, after a halt, or after it gave up. After a halt the analysis starts again."""
+    send_order(farm_path, "resume")
 
 
 @release.command("back")
 @FARM
 def back_command(farm_path: Path) -> None:
-    """Bring what is released back to the version before."""
-    order(farm_path, "back")
+    """Roll the released members back to the old version."""
+    send_order(farm_path, "back")
 
 
 @release.command("close")
 @FARM
 def close_command(farm_path: Path) -> None:
-    """End a release that halted or gave up, as it stands; another can begin then."""
-    with refusing():
-        store, kept = newest(farm_path)
+    """Close a release that halted or gave up, as it is, so that another can begin."""
+    with report_errors():
+        store, stored = open_newest_release(farm_path)
         try:
-            if kept.ended is None and kept.release.state not in (State.HALTED, State.GAVE_UP):
+            if stored.ended is None and stored.release.state not in (State.HALTED, State.ABANDONED):
                 raise CommandError(
-                    f"release {kept.id} is {kept.release.state.value}: pause it, or call it back"
+                    f"release {stored.id} is {stored.release.state.value}: pause it, or roll it back"
                 )
-            store.take_claim()
-            store.end(kept.id, kept.release, kept.members)
-            store.leave_claim()
+            store.acquire_claim()
+            store.close_release(stored.id, stored.release, stored.members)
+            store.release_claim()
         finally:
             store.close()
-    click.echo(f"release {kept.id}: closed")
+    click.echo(f"release {stored.id}: closed")
--- a/flaxstep/faultbench/discovery_service.py
+++ b/flaxstep/faultbench/discovery_service.py
@@ -20,7 +20,7 @@
 from flaxstep.faultbench.fake_service import BackgroundTasks, FakeService, require_loopback, run_service
 from flaxstep.faultbench.forwarder import reset_connection
 from flaxstep.faultbench.records import Happened, Recorder, Told
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 
 LIST_PATH = "/catalog/members"
 KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines of a watch
@@ -44,7 +44,7 @@
         # Version, server, entry.
         self.changes: deque[tuple[int, int, dict[str, Any]]] = deque(maxlen=MAX_KEPT_CHANGES)
         self.watches: set[DiscoveryConnection] = set()
-        self.random: Callable[[], float] = Streams(config["seed"]).chance("listing")
+        self.random: Callable[[], float] = RandomStreams(config["seed"]).uniform("listing")
         self.call_slots = asyncio.Semaphore(max(1, int(config["capacity"])))
         self.waiting_calls = 0
         self.is_down = False
--- a/flaxstep/faultbench/job_server.py
+++ b/flaxstep/faultbench/job_server.py
@@ -19,8 +19,15 @@
 from flaxstep.faultbench.forwarder import reset_connection
 from flaxstep.faultbench.records import Began, Ended, Fell, Held, Recorder
 from flaxstep.routing.interface import Result
-from flaxstep.simulator.engine import Engine, Streams
-from flaxstep.simulator.job_servers import TICK, Attempt, ChokePlan, Server, ServerPlan, WorkTotals
+from flaxstep.simulator.engine import Engine, RandomStreams
+from flaxstep.simulator.job_servers import (
+    UPDATE_INTERVAL_MS,
+    Attempt,
+    Server,
+    ServerPlan,
+    ThrottlingPlan,
+    WorkTotals,
+)
 from flaxstep.simulator.sampling import lognormal
 
 SAMPLE_INTERVAL_S = 0.25
@@ -34,7 +41,7 @@
     def __init__(self, zone: int) -> None:
         self.zone = zone
 
-    def ended(self, attempt: Attempt, result: Result) -> None:
+    def on_attempt_outcome(self, attempt: Attempt, result: Result) -> None:
         """Nothing to do: results are sent over the connection."""
 
 
@@ -48,14 +55,14 @@
         self.address: Address = (require_loopback(config["host"]), config["port"])
         self.rack_mates: list[Address] = [tuple(address) for address in config["rack"]]
         self.engine, self.totals = RealEngine(loop, recorder), WorkTotals()
-        streams = Streams(config["seed"])
+        streams = RandomStreams(config["seed"])
         self.server = Server(
             cast(Engine, self.engine),
             ServerPlan(**config["server"]),
-            ChokePlan(**config["choke"]),
+            ThrottlingPlan(**config["choke"]),
             tuple(config["tip"]),
             self.totals,
-            streams.chance(f"faults {self.number}"),
+            streams.uniform(f"faults {self.number}"),
             self.on_result,
         )
         self.owner = AttemptOwner(config["server"]["zone"])
@@ -76,7 +83,7 @@
         ]  # how the version that runs here differs from the standard one
         self.started_at = 0.0
         if config["cold"]:
-            self.server.boot()
+            self.server.start_process()
 
     async def start(self) -> None:
         self.started_at = self.loop.time()
@@ -90,7 +97,7 @@
         self.rack_sender, _ = await self.loop.create_datagram_endpoint(
             lambda: RackReceiver(self), sock=rack_sender
         )
-        self.loop.call_later(TICK / 1000, self.tick)
+        self.loop.call_later(UPDATE_INTERVAL_MS / 1000, self.tick)
         self.loop.call_later(SAMPLE_INTERVAL_S, self.record_sample)
 
     # Requests.
@@ -113,13 +120,13 @@
         connection.attempt, connection.request_id = attempt, request_id
         self.connection_by_attempt[self.attempt_count] = connection
         if repeat:
-            self.engine.after(1.0, self.on_result, attempt, Result.OK)
+            self.engine.call_after(1.0, self.on_result, attempt, Result.OK)
             return
         if key:
             self.remember_key(key)
             for rack_mate in self.rack_mates:
                 self.rack_sender.sendto(key.encode(), rack_mate)
-        self.server.arrive(attempt)
+        self.server.on_arrival(attempt)
         if not self.server.up and not self.crashed:
             self.crash()
 
@@ -129,11 +136,11 @@
             del self.begun_keys[next(iter(self.begun_keys))]
 
     def on_result(self, attempt: Attempt, result: Result) -> None:
-        connection = self.connection_by_attempt.pop(attempt.request, None)
+        connection = self.connection_by_attempt.pop(attempt.request_id, None)
         if connection is None:
             return
         if result is Result.OK:
-            self.totals.useful += attempt.work
+            self.totals.useful_ms += attempt.work_ms
         self.record_end(connection, result.name.lower())
         connection.respond(result)
 
@@ -154,9 +161,9 @@
         """Handles a closed connection: drops its work if queued; if running, only with `cancel_running`."""
         attempt = connection.attempt
         if attempt is not None:
-            self.connection_by_attempt.pop(attempt.request, None)
+            self.connection_by_attempt.pop(attempt.request_id, None)
             self.record_end(connection, "left")
-            self.server.drop(attempt, self.config["cancel_running"])
+            self.server.abandon_attempt(attempt, self.config["cancel_running"])
 
     def crash(self) -> None:
         """Handles a crash by overload: closes the listener and resets all connections until a restart."""
@@ -173,25 +180,27 @@
         """Applies the slowness and error rate of a version once its `after_s` has passed."""
         if self.loop.time() - self.started_at < figures["after_s"]:
             return
-        slow = figures["slow"] if self.server.held > figures["slow_over"] else 1.0
+        slow = figures["slow"] if self.server.requests_held > figures["slow_over"] else 1.0
         if (slow, figures["errors"]) != (self.server.slow, self.server.errors):
-            self.server.advance()
+            self.server.advance_work()
             self.server.slow, self.server.errors = slow, figures["errors"]
-            self.server.changed()
+            self.server.reschedule_completion()
 
     def tick(self) -> None:
         if self.figures is not None:
             self.apply_version_figures(self.figures)
-        self.server.connections = len(self.connections)
-        self.server.look()
-        self.loop.call_later(TICK / 1000, self.tick)
+        self.server.connection_count = len(self.connections)
+        self.server.update_state()
+        self.loop.call_later(UPDATE_INTERVAL_MS / 1000, self.tick)
 
     def record_sample(self) -> None:
         server = self.server
-        server.advance()
-        now, cold = self.recorder.now(), server.warmth() < 1.0
-        done, useful = round(self.totals.done, 3), round(self.totals.useful, 3)
-        self.recorder.write(Held(now, self.number, server.held, cold, server.choked, done, useful))
+        server.advance_work()
+        now, cold = self.recorder.now(), server.warm_share() < 1.0
+        done, useful = round(self.totals.done_ms, 3), round(self.totals.useful_ms, 3)
+        self.recorder.write(
+            Held(now, self.number, server.requests_held, cold, server.is_throttled, done, useful)
+        )
         self.loop.call_later(SAMPLE_INTERVAL_S, self.record_sample)
 
     def do_set(self, **figures: float) -> None:
@@ -199,9 +208,9 @@
         for name, value in figures.items():
             if name not in ("slow", "errors", "lost", "resets", "taken", "paused"):
                 raise ValueError(f"no figure {name!r}")
-            self.server.advance()
+            self.server.advance_work()
             setattr(self.server, name, value)
-            self.server.changed()
+            self.server.reschedule_completion()
 
 
 class Connection(asyncio.Protocol):
--- a/flaxstep/faultbench/links.py
+++ b/flaxstep/faultbench/links.py
@@ -29,7 +29,7 @@
     bind_listener,
 )
 from flaxstep.faultbench.records import Closed, Disturbed, Recorder, Turn
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 
 BACKLOG = 1024
 BACKLOG_FILLERS = 2  # connections that fill the backlog of a listener that accepts none
@@ -221,7 +221,7 @@
 class Links(FakeService):
     def __init__(self, config: dict[str, Any], recorder: Recorder, loop: asyncio.AbstractEventLoop) -> None:
         self.recorder, self.loop = recorder, loop
-        self.random: Callable[[], float] = Streams(config["seed"]).chance("links")
+        self.random: Callable[[], float] = RandomStreams(config["seed"]).uniform("links")
         self.links = [Link(self, spec) for spec in config["links"]]
         self.faults: dict[int, LinkFault] = {}
         self.callees_down: set[str] = set(config["down"])
--- a/flaxstep/faultbench/operators.py
+++ b/flaxstep/faultbench/operators.py
@@ -19,7 +19,7 @@
 from flaxstep.faultbench.fake_service import FaultBenchError, require_loopback
 from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import Happened
-from flaxstep.rollout.io.http_client import text
+from flaxstep.rollout.io.http_client import call_text
 
 COMMAND_PORT = 1998
 CORDON_LOG_LINE = re.compile(r"^(\S+ \S+) INFO (s-\d+) is (out|back)$", re.MULTILINE)
@@ -159,7 +159,7 @@
 
     async def check(self, name: str) -> str:
         host, port = self.farm.farm_links.server_addresses[int(name.removeprefix("s-"))]
-        status, response = await text(f"{host}:{port}", "GET", "/selftest")
+        status, response = await call_text(f"{host}:{port}", "GET", "/selftest")
         if (status, response) != (200, "42"):
             raise FaultBenchError(f"{response} is not 42")
         return response
--- a/flaxstep/faultbench/schedule.py
+++ b/flaxstep/faultbench/schedule.py
@@ -12,11 +12,11 @@
 import msgspec
 import numpy as np
 
-from flaxstep.simulator.engine import Streams
+from flaxstep.simulator.engine import RandomStreams
 from flaxstep.simulator.fault_config import LINK_FAULTS, Fault
-from flaxstep.simulator.sampling import Happening, Plan, draw
+from flaxstep.simulator.sampling import Happening, Plan, draw_value
 from flaxstep.simulator.scenario import Scenario
-from flaxstep.simulator.scheduled_events import LEAVE_MS, RESTART_AFTER
+from flaxstep.simulator.scheduled_events import ACCEPT_AFTER_TERM_MS, RESTART_DELAY_MS
 
 DRAIN_MS = 3000.0  # from `leaving` to the end of the process when servers are replaced
 
@@ -55,7 +55,7 @@
             end = happening.at + happening.length
             self.bands.append(Band(happening.name, happening.at, end))
             getattr(self, happening.name)(happening)
-        streams = Streams(plan.seed)
+        streams = RandomStreams(plan.seed)
         for i, fault in enumerate(scenario.rig.faults):
             self.add_fault(fault, streams.generator(f"fault {i}"))
         self.steps.sort(key=lambda step: step.at)
@@ -96,7 +96,7 @@
 
         It stays on for `on_ms`, or, if that is None, for as long as off on average.
         """
-        random = Streams(self.plan.seed).chance(f"{happening.name} {happening.seed}")
+        random = RandomStreams(self.plan.seed).uniform(f"{happening.name} {happening.seed}")
         for server in self.choose_servers(happening):
             at, end = happening.at + 1000 * happening.extra * random(), happening.at + happening.length
             while at < end:
@@ -162,7 +162,7 @@
             self.add_step(happening.at, "cordon", server=server)
             down_s = min(happening.extra, happening.length / 2 - 10) / 1000
             self.add_step(
-                happening.at + min(RESTART_AFTER, happening.length / 2),
+                happening.at + min(RESTART_DELAY_MS, happening.length / 2),
                 "restart_server",
                 server=server,
                 down_s=down_s,
@@ -184,7 +184,7 @@
             self.add_step(at, "term", name=f"node:{node}")
             longest_deadline_ms = max(c.deadline_ms for c in self.scenario.classes)
             self.add_step(
-                at + LEAVE_MS + longest_deadline_ms + happening.extra,
+                at + ACCEPT_AFTER_TERM_MS + longest_deadline_ms + happening.extra,
                 "start",
                 name=f"node:{node}",
                 keep=False,
@@ -192,8 +192,8 @@
 
     def add_fault(self, fault: Fault, generator: np.random.Generator) -> None:
         """Adds the steps of a fault that only the rig has."""
-        at, length = 1000 * draw(generator, fault.at_s), 1000 * draw(generator, fault.for_s)
-        size = draw(generator, fault.size)
+        at, length = 1000 * draw_value(generator, fault.at_s), 1000 * draw_value(generator, fault.for_s)
+        size = draw_value(generator, fault.size)
         end = at + length if length else None
         target = " - ".join(fault.between) if fault.between else f"{fault.of} {fault.how}".strip()
         self.bands.append(Band(f"{fault.name} {target}", at, end or 0.0))
--- a/flaxstep/rollout/wave_evaluation.py
+++ b/flaxstep/rollout/wave_evaluation.py
@@ -1,87 +1,99 @@
-"""A release's evidence and judgement, look after look, and what they mean for its wave. Pure."""
+"""Feeds each snapshot to the canary analysis and applies its result to the current wave. No I/O, no clock."""
 
 from __future__ import annotations
 
 from flaxstep.rollout.actions import Phase
-from flaxstep.rollout.canary_analysis import CanaryAnalysis, Finding, Opinion
+from flaxstep.rollout.canary_analysis import Assessment, CanaryAnalysis, Finding
 from flaxstep.rollout.evidence import Evidence
 from flaxstep.rollout.release import State, WaveMembers
 from flaxstep.rollout.snapshot import Snapshot
 
-LEAST_BEFORE = 50  # answers to measure before the release begins
-UNSURE = 2.0  # a stake over this: a wave is watched for up to so many times its time
-MOST_BAKE = 3.0
+MIN_BASELINE_RESPONSES = 50  # responses to measure before the first wave
+# A wave whose stake is above this is watched for up to MAX_BAKE_FACTOR times the bake time.
+SUSPICIOUS_STAKE = 2.0
+MAX_BAKE_FACTOR = 3.0
 
 
 class WaveEvaluation:
-    """Keeps in the release what a controller that comes after needs to go on."""
+    """Evaluates the waves of a release. What a restarted controller needs to go on is kept in the release."""
 
-    def __init__(self, line: WaveMembers) -> None:
-        self.line, self.plan, self.release = line, line.plan, line.release
+    def __init__(self, wave_members: WaveMembers) -> None:
+        self.wave_members, self.plan, self.release = wave_members, wave_members.plan, wave_members.release
         watch, release = self.plan.watch, self.release
         self.evidence = Evidence(self.plan.what, watch.slower, self.plan.room.worths)
-        self.judge = CanaryAnalysis(watch.false_halt, watch.failures)
+        self.analysis = CanaryAnalysis(watch.false_halt, watch.failures)
         if release.marks or release.pooled:
-            self.evidence.remember(release.marks, release.pooled)
+            self.evidence.load_state(release.marks, release.pooled)
         else:
-            release.measured = 0.0  # what a controller before had measured went with it
+            # Baseline measurements are not stored, so a restarted controller measures again.
+            release.measured = 0.0
         if release.bets:
-            self.judge.remember(release.bets)
+            self.analysis.load_state(release.bets)
 
-    def anew(self) -> None:
-        """Staff have seen what spoke against the version, and want it judged from here on."""
-        self.judge = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
+    def reset(self) -> None:
+        """Start a new analysis: operators have seen the evidence against the version and resumed."""
+        self.analysis = CanaryAnalysis(self.plan.watch.false_halt, self.plan.watch.failures)
         self.release.doubted = -1.0
 
-    def look(self, view: Snapshot, passed: float, now: float) -> str:
-        """Take a look's figures up. Why the version is bad, if it is."""
-        release, found = self.release, self.evidence.take(view)
-        release.served = self.evidence.served()
+    def update(self, snapshot: Snapshot, passed: float, now: float) -> str:
+        """Process a snapshot, `passed` s after the previous one; return why the version is bad, if it is."""
+        release, found = self.release, self.evidence.update(snapshot)
+        release.served = self.evidence.served_worth_share()
         if release.state is State.MEASURING:
             release.measured += passed
-            release.answers = self.evidence.measure(found)
-            if release.measured >= self.plan.watch.before_s and release.answers >= LEAST_BEFORE:
-                self.evidence.settle()
-                release.marks, release.pooled = self.evidence.marks, self.evidence.pooled
-                release.state = State.ROLLING
+            release.answers = self.evidence.add_baseline(found)
+            if release.measured >= self.plan.watch.before_s and release.answers >= MIN_BASELINE_RESPONSES:
+                self.evidence.compute_thresholds()
+                release.marks, release.pooled = self.evidence.thresholds, self.evidence.pooled_thresholds
+                release.state = State.IN_PROGRESS
             return ""
-        released = {m.id for m in self.line.all() if m.version == self.plan.to}
-        cold = {m.id for m in self.line.all() if m.phase is not Phase.SERVING}
-        seen = list(self.evidence.seen(found, released, cold))
-        if 0 <= self.doubted_for(now) < self.plan.watch.doubt_s:
-            seen = [line for line in seen if not line.released]  # what met the machine shall pass first
-        opinion = self.judge.look(seen)
-        release.stake, release.wanted = opinion.stake, opinion.wanted
-        why = self.heed(opinion, passed, now) if release.state is State.ROLLING else ""
-        release.bets = self.judge.memory()
+        released = {m.id for m in self.wave_members.all_members() if m.version == self.plan.to}
+        cold = {m.id for m in self.wave_members.all_members() if m.phase is not Phase.SERVING}
+        samples = list(self.evidence.member_samples(found, released, cold))
+        if 0 <= self.seconds_since_suspicion(now) < self.plan.watch.doubt_s:
+            # Let a transient problem of the machine pass before the second analysis begins.
+            samples = [line for line in samples if not line.released]
+        assessment = self.analysis.update(samples)
+        release.stake, release.wanted = assessment.stake, assessment.threshold
+        why = self.apply_assessment(assessment, passed, now) if release.state is State.IN_PROGRESS else ""
+        release.bets = self.analysis.to_state()
         return why
 
-    def doubted_for(self, now: float) -> float:
-        """s since one machine alone was found bad; negative: none is."""
+    def seconds_since_suspicion(self, now: float) -> float:
+        """Seconds since a single released member was found bad; negative if none is under suspicion."""
         return now - self.release.doubted if self.release.doubted >= 0 else -1.0
 
-    def heed(self, opinion: Opinion, passed: float, now: float) -> str:
-        """What the judgement means for the wave. One machine alone must be found bad twice."""
-        release, watch, doubted = self.release, self.plan.watch, self.doubted_for(now)
-        if opinion.finding is Finding.BAD:
-            if not self.judge.sole or doubted >= 0:
-                return f"worse than the rest: {opinion.why}"
+    def apply_assessment(self, assessment: Assessment, passed: float, now: float) -> str:
+        """Apply an assessment to the wave; return why the version is bad, or an empty string.
+
+        A single member must be found bad twice, as a machine may be slow for reasons of its own.
+        """
+        release, watch, doubted = self.release, self.plan.watch, self.seconds_since_suspicion(now)
+        if assessment.finding is Finding.BAD:
+            if not self.analysis.single_member or doubted >= 0:
+                return f"worse than the rest: {assessment.reason}"
             release.doubted, release.baked = now, 0.0
-            self.judge.look_again()
+            self.analysis.begin_second_analysis()
         elif doubted >= 0:
             if doubted > watch.doubt_s + watch.bake_s:
                 release.doubted = -1.0
-                self.judge.acquit()
-                release.baked = watch.bake_s if self.line.wave_is_out() else 0.0
-        elif self.line.wave_is_out() and (opinion.finding is Finding.GOOD or not self.line.rest()):
+                self.analysis.end_second_analysis()
+                release.baked = watch.bake_s if self.wave_members.wave_is_updated() else 0.0
+        elif self.wave_members.wave_is_updated() and (
+            assessment.finding is Finding.GOOD or not self.wave_members.has_baseline()
+        ):
             release.baked += passed
         return ""
 
-    def baked(self) -> bool:
-        """Whether the wave was watched for long enough: longer while something speaks against it."""
-        unsure = self.release.stake > UNSURE and self.line.rest()
-        return self.release.baked >= self.plan.watch.bake_s * (MOST_BAKE if unsure else 1.0)
+    def baked_long_enough(self) -> bool:
+        """Whether the wave has been watched long enough; longer if there is some evidence against it."""
+        unsure = self.release.stake > SUSPICIOUS_STAKE and self.wave_members.has_baseline()
+        return self.release.baked >= self.plan.watch.bake_s * (MAX_BAKE_FACTOR if unsure else 1.0)
 
-    def starved(self) -> str:
-        """Why nothing can be judged just now; nothing if it can."""
-        return "" if self.judge.fit or not self.line.rest() else "too few answers to compare with"
+    def comparison_gap(self) -> str:
+        """Why the version cannot be assessed at the moment; an empty string if it can."""
+        return (
+            ""
+            if self.analysis.has_baseline or not self.wave_members.has_baseline()
+            else "too few responses to compare with"
+        )
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -12,7 +12,7 @@
 from flaxstep.faultbench.farm import Farm
 from flaxstep.faultbench.records import read_records
 from flaxstep.faultbench.result import Result, judge_play
-from flaxstep.faultbench.trace import Trace, tell
+from flaxstep.faultbench.trace import Trace, build_trace
 from flaxstep.simulator.scenario import Scenario, read_scenario
 
 ROOT = Path(__file__).parent.parent
@@ -101,7 +101,7 @@
     for pid in children:
         assert not Path(f"/proc/{pid}").exists()
     records = list(read_records(folder / "play"))
-    trace = tell(records, farm.plan, scenario.rig.regions)
+    trace = build_trace(records, farm.plan, scenario.rig.regions)
     return Played(scenario, trace, judge_play(scenario, 1, folder / "play"))
 
 
