--- a/flaxstep/faultbench/fake_service.py
+++ b/flaxstep/faultbench/fake_service.py
@@ -82,7 +82,7 @@
 def run_service(create_service: ServiceFactory) -> None:
     """Runs a service process until its input ends. The first argument names its JSON configuration file."""
     config = json.loads(Path(sys.argv[1]).read_bytes())
-    uvloop.run_service(_serve_calls(create_service, config))
+    uvloop.run(_serve_calls(create_service, config))
 
 
 async def _serve_calls(create_service: ServiceFactory, config: dict[str, Any]) -> None:
